--- a/bench/writes_model/model_proxy.py
+++ b/bench/writes_model/model_proxy.py
@@ -13,7 +13,7 @@
     NeedConfirmation,
     Quorum,
     acknowledge,
-    settle,
+    resolve_write,
 )
 from jackdawcrank_policy.lease import LeaseState, LeaseTable
 from jackdawcrank_policy.values import (
@@ -171,7 +171,7 @@
             row = await self.row_above(verdict.above, deadline)
             if row is None:
                 return UNKNOWN
-            if not isinstance(settle(position, row.branch), Done):
+            if not isinstance(resolve_write(position, row.branch), Done):
                 return NOT_RUN
             term = row.term
         return UNKNOWN
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/__init__.py
@@ -5,7 +5,7 @@
     NeedConfirmation,
     acknowledge,
     acknowledge_read,
-    settle,
+    resolve_write,
 )
 from jackdawcrank_policy.acknowledgement.quorum import Quorum
 
@@ -15,5 +15,5 @@
     "Quorum",
     "acknowledge",
     "acknowledge_read",
-    "settle",
+    "resolve_write",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
@@ -33,7 +33,8 @@
     """The term was closed; the next one's branch decides.
 
     Attributes:
-      above: Wait for an active row of a term above this one and `settle`.
+      above: The closed term. The caller waits for an active row of a higher
+        term and then calls `resolve_write`.
     """
 
     above: int
@@ -52,8 +53,8 @@
 
     Args:
       position: The write's position, on the branch of `term`.
-      term: The open term: the position's own, or a later one that `settle`
-        found to keep the position.
+      term: The open term: the term of the position, or a later one whose
+        branch keeps the position according to `resolve_write`.
       lease: The state of the proxy's lease on `term` at this moment.
       quorum: The quorum of the group's servers.
       confirm_always: Whether the group requires confirmations with a lease.
@@ -65,8 +66,10 @@
         return AwaitTerm(above=term)
     if lease is LeaseState.HELD and not confirm_always:
         return Done(position)
-    verdict = _confirmed(term, quorum.replica_count, replicas, replies)
-    return Done(position) if verdict is None else verdict
+    decision = _check_confirmations(
+        term, quorum.replica_count, replicas, replies
+    )
+    return Done(position) if decision is None else decision
 
 
 def acknowledge_read(
@@ -97,13 +100,15 @@
     if primary in replies and replies[primary] != term:
         return Unknown("the primary did not confirm its term")
     servers = (primary, *replicas)
-    verdict = _confirmed(term, quorum.confirm_count, servers, replies)
-    if verdict is None and primary not in replies:
+    decision = _check_confirmations(
+        term, quorum.confirm_count, servers, replies
+    )
+    if decision is None and primary not in replies:
         return NeedConfirmation((primary,), 1)
-    return Done() if verdict is None else verdict
+    return Done() if decision is None else decision
 
 
-def settle(position: Position, branch: Branch) -> Done | NotRun:
+def resolve_write(position: Position, branch: Branch) -> Done | NotRun:
     """Tell whether the branch of a later term kept a committed write.
 
     A kept write is acknowledged by `acknowledge` under the later term.
@@ -121,7 +126,7 @@
     )
 
 
-def _confirmed(
+def _check_confirmations(
     term: int,
     needed: int,
     servers: tuple[str, ...],
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/__init__.py
@@ -2,18 +2,18 @@
 
 from jackdawcrank_policy.coordination.alignment import (
     Announcement,
-    alignment,
     divergent_tail,
+    required_announcement,
 )
+from jackdawcrank_policy.coordination.reconciliation import reconcile_row
 from jackdawcrank_policy.coordination.row_history import RowHistory
 from jackdawcrank_policy.coordination.takeover import (
     PREPARING_TAKEOVER_SECONDS,
     RANK_DELAY_SECONDS,
     acting_coordinator,
-    rank,
     takeover_delay,
+    takeover_rank,
 )
-from jackdawcrank_policy.coordination.upkeep import upkeep
 
 __all__ = [
     "PREPARING_TAKEOVER_SECONDS",
@@ -21,9 +21,9 @@
     "Announcement",
     "RowHistory",
     "acting_coordinator",
-    "alignment",
+    "required_announcement",
     "divergent_tail",
-    "rank",
+    "takeover_rank",
     "takeover_delay",
-    "upkeep",
+    "reconcile_row",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/alignment.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/alignment.py
@@ -48,7 +48,9 @@
     return max(0, position.offset - kept)
 
 
-def alignment(row: GroupRow, report: ServerReport) -> Announcement | None:
+def required_announcement(
+    row: GroupRow, report: ServerReport
+) -> Announcement | None:
     """Return what to tell a server whose report is not as the row says.
 
     Covers a replaced primary that returns, a replica that restarted, and a
@@ -64,12 +66,14 @@
     if row.phase is not GroupPhase.ACTIVE or report.term > row.term:
         return None
     start = row.branch.starts[-1]
-    in_term = report.term == row.term
+    fenced_with_term = report.term == row.term
     if report.server == row.primary:
-        fits = in_term and report.position.offset == start.offset
-        if report.role is ServerRole.PRIMARY or not fits:
+        state_intact = (
+            fenced_with_term and report.position.offset == start.offset
+        )
+        if report.role is ServerRole.PRIMARY or not state_intact:
             return None
-    elif _follows(row, report):
+    elif _follows_primary(row, report):
         return None
     return Announcement(
         server=report.server,
@@ -80,12 +84,14 @@
     )
 
 
-def _follows(row: GroupRow, report: ServerReport) -> bool:
+def _follows_primary(row: GroupRow, report: ServerReport) -> bool:
     """Return whether a server surely follows the open term's primary.
 
     A server that was paused may be fenced with the term after its primary was
     named, so the fence alone does not show that it follows.
     """
-    in_term = report.term == row.term and report.role is ServerRole.REPLICA
-    pulls = report.caught_up or report.position.term == row.term
-    return in_term and pulls and row.branch.keeps(report.position)
+    fenced_with_term = (
+        report.term == row.term and report.role is ServerRole.REPLICA
+    )
+    replicates = report.caught_up or report.position.term == row.term
+    return fenced_with_term and replicates and row.branch.keeps(report.position)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/upkeep.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/reconciliation.py
@@ -7,7 +7,7 @@
 from jackdawcrank_policy.values import GroupPhase, GroupRow
 
 
-def upkeep(
+def reconcile_row(
     row: GroupRow,
     vm: str,
     homes: tuple[str, ...],
@@ -17,9 +17,9 @@
     """Return the row as the acting coordinator would have it, or None.
 
     The term stays. A VM that leaves the writers may hold the lease for
-    `LEASE_CLOSING_SECONDS` more, so a promotion relies on the promises of the
+    `LEASE_WAIT_SECONDS` more, so a promotion relies on the promises of the
     remaining writers only that long after the change
-    (`PromotionPlan.quick_from`).
+    (`PromotionPlan.removed_writers_expire_at`).
 
     Args:
       row: The group's newest row.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/row_history.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/row_history.py
@@ -3,7 +3,7 @@
 import attrs
 
 from jackdawcrank_policy.budget import departed, writer_names
-from jackdawcrank_policy.lease import LEASE_CLOSING_SECONDS
+from jackdawcrank_policy.lease import LEASE_WAIT_SECONDS
 from jackdawcrank_policy.values import GroupPhase, GroupRow
 
 SEAT_RELEASE_SECONDS = 75.0
@@ -14,22 +14,23 @@
     """The newest row of a group and what is known of its writers.
 
     A VM that left a row's writers may hold the lease for
-    `LEASE_CLOSING_SECONDS` after the change; a VM that did not see the change
+    `LEASE_WAIT_SECONDS` after the change; a VM that did not see the change
     counts from when it first saw the row.
 
     Attributes:
       row: The newest row; None before the first.
       version: The change log's version of the row.
-      quick_from: The time from which no VM outside the row's writers can
-        hold a lease of an earlier or the present term.
+      removed_writers_expire_at: The time, in seconds, from which no VM
+        outside the row's writers can hold a lease of the current or an
+        earlier term.
       preparing_since: When a claim above the last open term was first seen;
-        every lease of that term has ended `LEASE_CLOSING_SECONDS` later.
+        every lease of that term has ended `LEASE_WAIT_SECONDS` later.
       departed_since: When each departed VM was first seen as such.
     """
 
     row: GroupRow | None = None
     version: int = -1
-    quick_from: float = 0.0
+    removed_writers_expire_at: float = 0.0
     preparing_since: float | None = None
     departed_since: dict[str, float] = attrs.field(factory=dict)
 
@@ -53,16 +54,16 @@
             vm: self.departed_since.get(vm, now) for vm in departed(row.writers)
         }
         if row.phase is GroupPhase.PREPARING:
-            self.claim_seen(now)
+            self.observe_claim(now)
             return True
         self.preparing_since = None
-        if earlier is not None and in_order and _opened(earlier, row):
-            self.quick_from = now
-        elif not in_order or earlier is None or _shrank(earlier, row):
-            self.quick_from = now + LEASE_CLOSING_SECONDS
+        if earlier is not None and in_order and _term_opened(earlier, row):
+            self.removed_writers_expire_at = now
+        elif not in_order or earlier is None or _writers_removed(earlier, row):
+            self.removed_writers_expire_at = now + LEASE_WAIT_SECONDS
         return True
 
-    def claim_seen(self, now: float) -> None:
+    def observe_claim(self, now: float) -> None:
         """Note that a claim above the open term stands in the store.
 
         Args:
@@ -83,18 +84,18 @@
             if now >= since + SEAT_RELEASE_SECONDS
         )
 
-    def leases_out_at(self) -> float | None:
+    def leases_expire_at(self) -> float | None:
         """Return when all leases of the last open term have ended, if known."""
         if self.preparing_since is None:
             return None
-        return self.preparing_since + LEASE_CLOSING_SECONDS
+        return self.preparing_since + LEASE_WAIT_SECONDS
 
 
-def _shrank(earlier: GroupRow, row: GroupRow) -> bool:
+def _writers_removed(earlier: GroupRow, row: GroupRow) -> bool:
     return not set(writer_names(earlier.writers)) <= set(row.writers)
 
 
-def _opened(earlier: GroupRow, row: GroupRow) -> bool:
+def _term_opened(earlier: GroupRow, row: GroupRow) -> bool:
     """Return whether a term opened between two rows."""
     claimed = earlier.phase is GroupPhase.PREPARING
     return claimed or earlier.term < row.term
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/takeover.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/takeover.py
@@ -4,7 +4,9 @@
 PREPARING_TAKEOVER_SECONDS = 1.0
 
 
-def rank(vm: str, coordinator: str, homes: tuple[str, ...]) -> int | None:
+def takeover_rank(
+    vm: str, coordinator: str, homes: tuple[str, ...]
+) -> int | None:
     """Return how many others should act before a VM, or None for no home.
 
     The coordinator comes first, the other homes follow in their order.
@@ -38,10 +40,10 @@
     return next((home for home in homes if home in live), None)
 
 
-def takeover_delay(position: int) -> float:
+def takeover_delay(home_rank: int) -> float:
     """Return the seconds that a home of a rank leaves to those before it.
 
     Args:
-      position: The rank.
+      home_rank: The rank.
     """
-    return position * RANK_DELAY_SECONDS
+    return home_rank * RANK_DELAY_SECONDS
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/lease/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/lease/__init__.py
@@ -2,15 +2,15 @@
 
 from jackdawcrank_policy.lease.lease_state import LeaseState
 from jackdawcrank_policy.lease.lease_table import (
-    DRIFT,
-    LEASE_CLOSING_SECONDS,
+    CLOCK_DRIFT,
     LEASE_SECONDS,
+    LEASE_WAIT_SECONDS,
     LeaseTable,
 )
 
 __all__ = [
-    "DRIFT",
-    "LEASE_CLOSING_SECONDS",
+    "CLOCK_DRIFT",
+    "LEASE_WAIT_SECONDS",
     "LEASE_SECONDS",
     "LeaseState",
     "LeaseTable",
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/lease/lease_table.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/lease/lease_table.py
@@ -8,8 +8,8 @@
 from jackdawcrank_policy.values import GroupPhase, GroupRow
 
 LEASE_SECONDS = 3.0
-DRIFT = 0.02
-LEASE_CLOSING_SECONDS = LEASE_SECONDS * (1 + DRIFT)
+CLOCK_DRIFT = 0.02
+LEASE_WAIT_SECONDS = LEASE_SECONDS * (1 + CLOCK_DRIFT)
 
 
 @attrs.define
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/plan.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/plan.py
@@ -41,10 +41,11 @@
       target: The server that a planned switch-over moves to.
       avoid: Servers that are chosen only if they are the most advanced.
       highest_term: The highest fence term that a server has reported.
-      leases_out_at: When the leases of earlier terms have run out at the
+      leases_expire_at: When the leases of earlier terms have run out at the
         latest, where that is known from an earlier claim; else None.
-      quick_from: The time from which the writers' promises suffice to close
-        the leases, since a writer that was removed has run out by then.
+      removed_writers_expire_at: The time at which the leases of removed
+        writers have expired. From then on, the leases of earlier terms are
+        closed once every remaining writer has given up its own.
     """
 
     group: str
@@ -56,8 +57,8 @@
     target: str | None = None
     avoid: frozenset[str] = frozenset()
     highest_term: int = 0
-    leases_out_at: float | None = None
-    quick_from: float = 0.0
+    leases_expire_at: float | None = None
+    removed_writers_expire_at: float = 0.0
 
     @property
     def quorum(self) -> Quorum:
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/promotion.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/promotion.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from jackdawcrank_policy.lease import LEASE_CLOSING_SECONDS
+from jackdawcrank_policy.lease import LEASE_WAIT_SECONDS
 from jackdawcrank_policy.promotion.actions import (
     Abandoned,
     AbandonReason,
@@ -45,16 +45,16 @@
     ServerReport,
 )
 
-GRACE_SECONDS = 0.15
+FENCE_GRACE_SECONDS = 0.15
 FENCE_RETRY_SECONDS = 0.25
 OPEN_RETRY_SECONDS = 0.25
 MAX_OPEN_RETRY_SECONDS = 2.0
-CATCH_UP_SECONDS = 2.0
-QUIESCE_SECONDS = 0.1
-TARGET_PROBE_SECONDS = 0.01
+CATCH_UP_TIMEOUT_SECONDS = 2.0
+QUIESCE_TIMEOUT_SECONDS = 0.1
+TARGET_PROBE_INTERVAL_SECONDS = 0.01
 ANNOUNCE_RETRY_SECONDS = 0.1
-ANNOUNCE_TRIES = 5
-DEADLINE_SECONDS = 30.0
+MAX_ANNOUNCE_ATTEMPTS = 5
+PROMOTION_TIMEOUT_SECONDS = 30.0
 
 
 class PromotionStep(enum.Enum):
@@ -90,11 +90,11 @@
       failed: Servers that could not be fenced when last tried.
       given_up: Writers that promised to act no more for earlier terms.
       leases_closed: Whether every lease of an earlier term has ended.
-      grace_over: Whether servers that are slow to be fenced are left out.
-      waited_long: Whether the servers had as long as leases take to end.
+      grace_expired: Whether servers that are slow to be fenced are left out.
+      lease_wait_expired: Whether the servers had as long as leases take to end.
       final_position: The old primary's last entry, in a switch-over.
       claimed_at: When the claim was known to stand, in seconds.
-      announce_tries: How often the new primary was told in vain.
+      failed_announcements: How often the new primary was told in vain.
       open_retry_seconds: The pause before the next try to open the term.
       primary_fence_sent: Whether a switch-over has fenced the old primary.
     """
@@ -107,11 +107,11 @@
     failed: set[str] = attrs.field(factory=set)
     given_up: set[str] = attrs.field(factory=set)
     leases_closed: bool = False
-    grace_over: bool = False
-    waited_long: bool = False
+    grace_expired: bool = False
+    lease_wait_expired: bool = False
     final_position: Position | None = None
     claimed_at: float = 0.0
-    announce_tries: int = 0
+    failed_announcements: int = 0
     open_retry_seconds: float = OPEN_RETRY_SECONDS
     primary_fence_sent: bool = False
 
@@ -149,14 +149,20 @@
         actions: list[Action] = [
             AskGiveUp(vm, self.term) for vm in self.plan.old_writers
         ]
-        actions.append(SetTimer(Timer.LEASES, self.leases_out_at(now)))
-        actions.append(SetTimer(Timer.DEADLINE, now + DEADLINE_SECONDS))
+        actions.append(SetTimer(Timer.LEASES, self.leases_expire_at(now)))
+        actions.append(
+            SetTimer(Timer.DEADLINE, now + PROMOTION_TIMEOUT_SECONDS)
+        )
         if self.plan.cause is PromotionCause.SWITCH_OVER:
             self.step = PromotionStep.HANDING_OVER
-            actions.append(SetTimer(Timer.QUIESCE, now + QUIESCE_SECONDS))
-            actions.append(SetTimer(Timer.CATCH_UP, now + CATCH_UP_SECONDS))
+            actions.append(
+                SetTimer(Timer.QUIESCE, now + QUIESCE_TIMEOUT_SECONDS)
+            )
+            actions.append(
+                SetTimer(Timer.CATCH_UP, now + CATCH_UP_TIMEOUT_SECONDS)
+            )
             return actions
-        return actions + self.fence_others()
+        return actions + self.fence_remaining_servers()
 
     @on.register
     def _(self, event: ClaimConflict, now: float) -> list[Action]:
@@ -179,14 +185,17 @@
     @on.register
     def _(self, event: LeaseGivenUp, now: float) -> list[Action]:
         self.given_up.add(event.vm)
-        return self.fence_moved_primary() + self.close_leases(now)
+        return self.fence_old_primary() + self.close_leases(now)
 
     def close_leases(self, now: float) -> list[Action]:
         """Take the leases for closed once every writer gave up."""
-        if self.leases_closed or not self.all_gave_up():
+        if self.leases_closed or not self.all_leases_given_up():
             return []
-        if now < self.plan.quick_from:
-            at = min(self.plan.quick_from, self.leases_out_at(self.claimed_at))
+        if now < self.plan.removed_writers_expire_at:
+            at = min(
+                self.plan.removed_writers_expire_at,
+                self.leases_expire_at(self.claimed_at),
+            )
             return [SetTimer(Timer.LEASES, at)]
         self.leases_closed = True
         return self.open_if_ready(now)
@@ -208,25 +217,25 @@
         if self.step is not PromotionStep.CLOSING:
             return []
         if len(self.fenced) == self.plan.quorum.fence_count:
-            timer = SetTimer(Timer.GRACE, now + GRACE_SECONDS)
+            timer = SetTimer(Timer.GRACE, now + FENCE_GRACE_SECONDS)
             return [timer, *self.open_if_ready(now)]
         return self.open_if_ready(now)
 
     @on.register
     def _(self, event: FenceRefused, now: float) -> list[Action]:
-        return self.miss(event.server, now)
+        return self.record_server_failure(event.server, now)
 
     @on.register
     def _(self, event: Unreachable, now: float) -> list[Action]:
-        return self.miss(event.server, now)
+        return self.record_server_failure(event.server, now)
 
     @on.register
     def _(self, event: Probed, now: float) -> list[Action]:
         if self.step is not PromotionStep.HANDING_OVER:
             return []
         if event.report.position == self.final_position:
-            return self.fence_others()
-        return [SetTimer(Timer.PROBE, now + TARGET_PROBE_SECONDS)]
+            return self.fence_remaining_servers()
+        return [SetTimer(Timer.PROBE, now + TARGET_PROBE_INTERVAL_SECONDS)]
 
     @on.register
     def _(self, event: Opened, now: float) -> list[Action]:
@@ -258,8 +267,8 @@
         assert self.opened is not None
         if event.server != self.opened.primary:
             return []
-        self.announce_tries += 1
-        if self.announce_tries >= ANNOUNCE_TRIES:
+        self.failed_announcements += 1
+        if self.failed_announcements >= MAX_ANNOUNCE_ATTEMPTS:
             return self.finish(announced=False)
         return [SetTimer(Timer.ANNOUNCE_RETRY, now + ANNOUNCE_RETRY_SECONDS)]
 
@@ -268,17 +277,17 @@
         match event.timer:
             case Timer.LEASES:
                 self.leases_closed = True
-                self.waited_long = True
+                self.lease_wait_expired = True
                 return self.open_if_ready(now)
             case Timer.GRACE:
-                self.grace_over = True
+                self.grace_expired = True
                 return self.open_if_ready(now)
             case Timer.FENCE_RETRY:
                 return self.retry_fences()
             case Timer.QUIESCE:
-                return self.fence_moved_primary(waited=True)
+                return self.fence_old_primary(waited=True)
             case Timer.CATCH_UP if self.step is PromotionStep.HANDING_OVER:
-                return self.fence_others()
+                return self.fence_remaining_servers()
             case Timer.PROBE if self.step is PromotionStep.HANDING_OVER:
                 assert self.plan.target is not None
                 return [ProbeServer(self.plan.target)]
@@ -292,20 +301,20 @@
                 PromotionStep.HANDING_OVER,
                 PromotionStep.CLOSING,
             ):
-                return self.abandon(self.shortage(), self.claimed)
+                return self.abandon(self.failure_reason(), self.claimed)
         return []
 
-    def leases_out_at(self, claimed_at: float) -> float:
+    def leases_expire_at(self, claimed_at: float) -> float:
         """Return when time alone has closed the leases of earlier terms."""
-        if self.plan.leases_out_at is not None:
-            return self.plan.leases_out_at
-        return claimed_at + LEASE_CLOSING_SECONDS
+        if self.plan.leases_expire_at is not None:
+            return self.plan.leases_expire_at
+        return claimed_at + LEASE_WAIT_SECONDS
 
-    def all_gave_up(self) -> bool:
+    def all_leases_given_up(self) -> bool:
         """Return whether every earlier writer promised to act no more."""
         return self.given_up.issuperset(self.plan.old_writers)
 
-    def fence_moved_primary(self, waited: bool = False) -> list[Action]:
+    def fence_old_primary(self, waited: bool = False) -> list[Action]:
         """Fence the primary of a switch-over once nothing runs on it.
 
         A writer promises after what it had under way has ended, so promises
@@ -317,12 +326,12 @@
         moving = self.step is PromotionStep.HANDING_OVER
         if not moving or self.primary_fence_sent:
             return []
-        if not waited and not self.all_gave_up():
+        if not waited and not self.all_leases_given_up():
             return []
         self.primary_fence_sent = True
-        return [FenceServer(self.term_primary(), self.term)]
+        return [FenceServer(self.old_primary(), self.term)]
 
-    def fence_others(self) -> list[Action]:
+    def fence_remaining_servers(self) -> list[Action]:
         """Enter the closing step and fence the servers not yet fenced."""
         self.step = PromotionStep.CLOSING
         return [
@@ -339,12 +348,14 @@
         self.failed.clear()
         return [FenceServer(server, self.term) for server in servers]
 
-    def miss(self, server: str, now: float) -> list[Action]:
+    def record_server_failure(self, server: str, now: float) -> list[Action]:
         """Note a server that could not be fenced or probed."""
         if self.step is PromotionStep.HANDING_OVER:
             if server == self.plan.target and self.final_position is not None:
-                return [SetTimer(Timer.PROBE, now + TARGET_PROBE_SECONDS)]
-            return self.fence_others()
+                return [
+                    SetTimer(Timer.PROBE, now + TARGET_PROBE_INTERVAL_SECONDS)
+                ]
+            return self.fence_remaining_servers()
         if self.step is not PromotionStep.CLOSING:
             return []
         self.failed.add(server)
@@ -355,7 +366,7 @@
         """Choose and open once nothing can be acknowledged any more."""
         if self.step is not PromotionStep.CLOSING or not self.leases_closed:
             return []
-        if not (self.has_quorum() and self.has_waited()):
+        if not (self.has_quorum() and self.is_fence_wait_over()):
             return []
         chosen = choose_primary(
             self.fenced.values(),
@@ -384,24 +395,24 @@
         if len(self.fenced) >= self.plan.quorum.fence_count:
             return True
         forced = self.plan.cause is PromotionCause.FORCED
-        return forced and bool(self.fenced) and self.waited_long
+        return forced and bool(self.fenced) and self.lease_wait_expired
 
-    def has_waited(self) -> bool:
+    def is_fence_wait_over(self) -> bool:
         """Return whether the servers not fenced have had their chance."""
-        if self.grace_over or self.waited_long:
+        if self.grace_expired or self.lease_wait_expired:
             return True
         if self.plan.cause is PromotionCause.SWITCH_OVER:
             return self.plan.target in self.fenced
         awaited = set(self.plan.servers) - self.fenced.keys() - self.failed
         if self.plan.cause is PromotionCause.FAILURE:
-            awaited.discard(self.term_primary())
+            awaited.discard(self.old_primary())
         return not awaited
 
-    def term_primary(self) -> str:
+    def old_primary(self) -> str:
         """Return the primary of the last open term."""
         return self.claimed.primary if self.claimed else ""
 
-    def shortage(self) -> AbandonReason:
+    def failure_reason(self) -> AbandonReason:
         """Return why the term could not be opened."""
         if self.has_quorum():
             return AbandonReason.NO_CANDIDATE
--- a/packages/jackdawcrank-policy/tests/acknowledgement/test_acknowledge.py
+++ b/packages/jackdawcrank-policy/tests/acknowledgement/test_acknowledge.py
@@ -8,7 +8,7 @@
     Quorum,
     acknowledge,
     acknowledge_read,
-    settle,
+    resolve_write,
 )
 from jackdawcrank_policy.lease import LeaseState
 from jackdawcrank_policy.values import (
@@ -56,8 +56,8 @@
     assert write(LeaseState.LAPSED, {"s2": reply}) == NeedConfirmation(
         ("s3",), 1
     )
-    verdict = write(LeaseState.LAPSED, {"s2": reply, "s3": reply})
-    assert isinstance(verdict, Unknown)
+    decision = write(LeaseState.LAPSED, {"s2": reply, "s3": reply})
+    assert isinstance(decision, Unknown)
 
 
 def test_a_closed_lease_waits_for_the_next_term() -> None:
@@ -78,5 +78,5 @@
 def test_the_next_branch_settles_a_write_in_flight() -> None:
     kept = Branch((TermStart(4, 0), TermStart(5, 20)))
     lost = Branch((TermStart(4, 0), TermStart(5, 19)))
-    assert settle(AT, kept) == Done(AT)
-    assert isinstance(settle(AT, lost), NotRun)
+    assert resolve_write(AT, kept) == Done(AT)
+    assert isinstance(resolve_write(AT, lost), NotRun)
--- a/packages/jackdawcrank-policy/tests/coordination/test_coordination.py
+++ b/packages/jackdawcrank-policy/tests/coordination/test_coordination.py
@@ -6,12 +6,12 @@
 from jackdawcrank_policy.coordination import (
     RowHistory,
     acting_coordinator,
-    alignment,
     divergent_tail,
-    rank,
-    upkeep,
+    reconcile_row,
+    required_announcement,
+    takeover_rank,
 )
-from jackdawcrank_policy.lease import LEASE_CLOSING_SECONDS
+from jackdawcrank_policy.lease import LEASE_WAIT_SECONDS
 from jackdawcrank_policy.values import (
     Branch,
     GroupPhase,
@@ -36,10 +36,10 @@
 
 
 def test_the_coordinator_comes_first_and_all_ranks_differ() -> None:
-    ranks = [rank(vm, "vm2", HOMES) for vm in HOMES]
+    ranks = [takeover_rank(vm, "vm2", HOMES) for vm in HOMES]
     assert ranks == [1, 0, 2]
-    assert rank("vm9", "vm2", HOMES) is None
-    assert [rank(vm, "gone", HOMES) for vm in HOMES] == [0, 1, 2]
+    assert takeover_rank("vm9", "vm2", HOMES) is None
+    assert [takeover_rank(vm, "gone", HOMES) for vm in HOMES] == [0, 1, 2]
 
 
 def test_the_first_live_home_acts_for_a_dead_coordinator() -> None:
@@ -51,14 +51,14 @@
 
 def test_upkeep_names_the_live_homes_as_writers() -> None:
     live = frozenset({"vm1", "vm3"})
-    wanted = upkeep(ROW, "vm1", HOMES, live)
+    wanted = reconcile_row(ROW, "vm1", HOMES, live)
     assert wanted is not None
     assert wanted.writers[:3] == ("vm1", "!vm2", "vm3")
     assert wanted.coordinator == "vm1"
     assert wanted.term == ROW.term
-    assert upkeep(wanted, "vm1", HOMES, live) is None
-    assert upkeep(ROW, "vm3", HOMES, live) is None
-    later = upkeep(wanted, "vm1", HOMES, live, frozenset({"vm2"}))
+    assert reconcile_row(wanted, "vm1", HOMES, live) is None
+    assert reconcile_row(ROW, "vm3", HOMES, live) is None
+    later = reconcile_row(wanted, "vm1", HOMES, live, frozenset({"vm2"}))
     assert later is not None and later.writers[:3] == ("vm1", "", "vm3")
 
 
@@ -76,7 +76,7 @@
     ],
 )
 def test_servers_out_of_line_are_told(answer: ServerReport, told: bool) -> None:
-    assert (alignment(ROW, answer) is not None) is told
+    assert (required_announcement(ROW, answer) is not None) is told
 
 
 def test_a_server_fenced_after_the_announcement_is_told_again() -> None:
@@ -87,8 +87,10 @@
         term=3,
         branch=Branch((TermStart(2, 0), TermStart(3, 5))),
     )
-    assert alignment(row, missed) is not None
-    assert alignment(row, attrs.evolve(missed, caught_up=True)) is None
+    assert required_announcement(row, missed) is not None
+    assert (
+        required_announcement(row, attrs.evolve(missed, caught_up=True)) is None
+    )
 
 
 def test_the_divergent_tail_is_counted() -> None:
@@ -100,16 +102,16 @@
 def test_a_writer_that_left_is_waited_for() -> None:
     history = RowHistory()
     history.observe(ROW, 1, 10.0, in_order=True)
-    assert history.quick_from == 10.0 + LEASE_CLOSING_SECONDS
+    assert history.removed_writers_expire_at == 10.0 + LEASE_WAIT_SECONDS
     opened = attrs.evolve(ROW, term=3)
     history.observe(opened, 2, 20.0, in_order=True)
-    assert history.quick_from == 20.0
+    assert history.removed_writers_expire_at == 20.0
     grown = attrs.evolve(opened, writers=HOMES)
     history.observe(grown, 3, 30.0, in_order=True)
-    assert history.quick_from == 20.0
+    assert history.removed_writers_expire_at == 20.0
     shrunk = attrs.evolve(opened, writers=("vm1",))
     history.observe(shrunk, 4, 40.0, in_order=True)
-    assert history.quick_from == 40.0 + LEASE_CLOSING_SECONDS
+    assert history.removed_writers_expire_at == 40.0 + LEASE_WAIT_SECONDS
 
 
 def test_a_term_that_this_vm_opened_has_no_other_writers() -> None:
@@ -119,7 +121,7 @@
     history.observe(claim, 2, 20.0, in_order=True)
     opened = attrs.evolve(claim, phase=GroupPhase.ACTIVE, writers=("vm3",))
     history.observe(opened, 3, 24.0, in_order=True)
-    assert history.quick_from == 24.0
+    assert history.removed_writers_expire_at == 24.0
 
 
 def test_a_departed_vm_s_seat_is_freed_after_its_connections() -> None:
@@ -137,14 +139,14 @@
     history = RowHistory()
     history.observe(ROW, 1, 10.0, in_order=True)
     history.observe(attrs.evolve(ROW, term=4), 9, 50.0, in_order=False)
-    assert history.quick_from == 50.0 + LEASE_CLOSING_SECONDS
+    assert history.removed_writers_expire_at == 50.0 + LEASE_WAIT_SECONDS
 
 
 def test_leases_end_counted_from_the_first_claim_seen() -> None:
     history = RowHistory()
     history.observe(ROW, 1, 10.0, in_order=True)
-    assert history.leases_out_at() is None
+    assert history.leases_expire_at() is None
     claim = attrs.evolve(ROW, term=3, phase=GroupPhase.PREPARING)
     history.observe(claim, 2, 20.0, in_order=True)
     history.observe(attrs.evolve(claim, term=4), 3, 22.0, in_order=True)
-    assert history.leases_out_at() == 20.0 + LEASE_CLOSING_SECONDS
+    assert history.leases_expire_at() == 20.0 + LEASE_WAIT_SECONDS
--- a/packages/jackdawcrank-policy/tests/lease/test_lease_table.py
+++ b/packages/jackdawcrank-policy/tests/lease/test_lease_table.py
@@ -4,8 +4,8 @@
 import pytest
 
 from jackdawcrank_policy.lease import (
-    LEASE_CLOSING_SECONDS,
     LEASE_SECONDS,
+    LEASE_WAIT_SECONDS,
     LeaseState,
     LeaseTable,
 )
@@ -78,4 +78,4 @@
 
 def test_the_closing_wait_covers_a_slow_clock() -> None:
     holder_seconds = LEASE_SECONDS * 1.02
-    assert holder_seconds <= LEASE_CLOSING_SECONDS
+    assert holder_seconds <= LEASE_WAIT_SECONDS
--- a/packages/jackdawcrank-policy/tests/promotion/conftest.py
+++ b/packages/jackdawcrank-policy/tests/promotion/conftest.py
@@ -137,7 +137,7 @@
         self.servers["s3"].pull(self.servers["s1"])
         replies: dict[str, int | None] = {}
         while True:
-            verdict = acknowledge(
+            decision = acknowledge(
                 position,
                 1,
                 self.writer.state(GROUP, 1, self.now),
@@ -146,11 +146,11 @@
                 ("s2", "s3"),
                 replies,
             )
-            if not isinstance(verdict, NeedConfirmation):
+            if not isinstance(decision, NeedConfirmation):
                 break
             replies["s2"] = None
             replies["s3"] = self.servers["s3"].confirm(position)
-        if isinstance(verdict, Done):
+        if isinstance(decision, Done):
             self.history.answers.append(
                 CallerRecord(
                     write_id,
--- a/packages/jackdawcrank-policy/tests/promotion/test_promotion.py
+++ b/packages/jackdawcrank-policy/tests/promotion/test_promotion.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from jackdawcrank_policy.lease import LEASE_CLOSING_SECONDS
+from jackdawcrank_policy.lease import LEASE_WAIT_SECONDS
 from jackdawcrank_policy.promotion import (
     Abandoned,
     AbandonReason,
@@ -83,7 +83,7 @@
 ) -> None:
     group = make_group()
     coordinate("vm-new", group).run()
-    assert group.history.terms[-1].opened_at >= LEASE_CLOSING_SECONDS
+    assert group.history.terms[-1].opened_at >= LEASE_WAIT_SECONDS
 
 
 def test_a_promise_replaces_the_wait(
@@ -92,7 +92,7 @@
     group = make_group()
     group.writer_answers = True
     coordinate("vm-new", group).run()
-    assert group.history.terms[-1].opened_at < LEASE_CLOSING_SECONDS / 2
+    assert group.history.terms[-1].opened_at < LEASE_WAIT_SECONDS / 2
     assert check_history(group.finished_history()) == []
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
@@ -9,7 +9,7 @@
     NeedConfirmation,
     acknowledge,
     acknowledge_read,
-    settle,
+    resolve_write,
 )
 from jackdawcrank_policy.values import (
     Done,
@@ -110,7 +110,7 @@
         row = await self.state.active_row_above(wait.above, deadline)
         if row is None:
             return Unknown(f"term {wait.above} closed; no later one is open")
-        if isinstance(settle(position, row.branch), Done):
+        if isinstance(resolve_write(position, row.branch), Done):
             return row.term
         detail = f"the write at {position} was lost in a change of primary"
         return Failed(LOST_WRITE_CODE, LOST_WRITE_STATE, detail)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/claim_watch.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/claim_watch.py
@@ -8,8 +8,8 @@
 from jackdawcrank_policy.acknowledgement import Quorum
 from jackdawcrank_policy.coordination import (
     PREPARING_TAKEOVER_SECONDS,
-    rank,
     takeover_delay,
+    takeover_rank,
 )
 from jackdawcrank_policy.promotion import PromotionCause
 from jackdawcrank_policy.values import GroupPhase, GroupRow
@@ -56,7 +56,7 @@
         """Elect the first primary of a group that has no row."""
         if self.context.closed or self.context.row is not None:
             return
-        position = rank(self.context.vm, "", self.context.homes)
+        position = takeover_rank(self.context.vm, "", self.context.homes)
         needed = Quorum(len(self.context.servers)).fence_count
         if position is not None and len(self.probes.reports()) >= needed:
             await self.context.pause(takeover_delay(position))
@@ -81,7 +81,7 @@
         """
         if row.phase is not GroupPhase.PREPARING:
             return
-        position = self.context.rank
+        position = self.context.takeover_rank
         if position is not None:
             delay = PREPARING_TAKEOVER_SECONDS + takeover_delay(position)
             self.plan_takeover(delay)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_agent.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_agent.py
@@ -22,7 +22,7 @@
 )
 from jackdawcrank.timer import Subscription, Timer
 from jackdawcrank_policy.budget import writer_names
-from jackdawcrank_policy.coordination import upkeep
+from jackdawcrank_policy.coordination import reconcile_row
 from jackdawcrank_policy.detection import PrimaryEvidence
 from jackdawcrank_policy.lease import LeaseTable
 from jackdawcrank_policy.promotion import (
@@ -210,7 +210,7 @@
         context = self.context
         context.leases.give_up(context.spec.name, term - 1)
         if context.row is not None and context.row.term < term:
-            context.history.claim_seen(context.timer.now())
+            context.history.observe_claim(context.timer.now())
         context.tell(EventKind.LEASE_GIVEN_UP, claim=term)
         return True
 
@@ -276,7 +276,10 @@
 
     async def wait_for_promises(self) -> None:
         """Wait until the writers' promises suffice to close the leases."""
-        left = self.context.history.quick_from - self.context.timer.now()
+        left = (
+            self.context.history.removed_writers_expire_at
+            - self.context.timer.now()
+        )
         if left > 0:
             await self.context.pause(left)
 
@@ -343,7 +346,9 @@
         if now - self.homes_since < UPKEEP_STEADY_SECONDS:
             return
         freed = context.history.freed(now)
-        wanted = upkeep(row, context.vm, context.homes, context.live, freed)
+        wanted = reconcile_row(
+            row, context.vm, context.homes, context.live, freed
+        )
         if wanted is None:
             return
         outcome = await context.store.claim(row, wanted)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_context.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_context.py
@@ -14,7 +14,7 @@
 from jackdawcrank_policy.coordination import (
     RowHistory,
     acting_coordinator,
-    rank,
+    takeover_rank,
 )
 from jackdawcrank_policy.lease import LeaseTable
 from jackdawcrank_policy.values import GroupRow, GroupSpec
@@ -84,9 +84,9 @@
         return acting == self.vm
 
     @property
-    def rank(self) -> int | None:
+    def takeover_rank(self) -> int | None:
         """Return how many homes act before this VM; None if it is no home."""
-        return rank(self.vm, self.coordinator, self.homes)
+        return takeover_rank(self.vm, self.coordinator, self.homes)
 
     def next_writers(self) -> tuple[str, ...]:
         """Return the writers, by seat, that the next row should have."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/primary_watch.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/primary_watch.py
@@ -160,7 +160,9 @@
             if health is PrimaryHealth.CUT_OFF:
                 self.context.block("this VM reaches no server of the group")
             if health.is_suspicious:
-                await self.context.pause(takeover_delay(self.context.rank or 0))
+                await self.context.pause(
+                    takeover_delay(self.context.takeover_rank or 0)
+                )
                 return health if detector.misses else None
             await self.context.pause(RECHECK_SECONDS)
         return None
@@ -182,7 +184,7 @@
     def obstacle(self, row: GroupRow, judgement: Judgement) -> str:
         """Return what keeps a suspected primary in office, or nothing."""
         now = self.context.timer.now()
-        if self.context.rank is None:
+        if self.context.takeover_rank is None:
             return "this VM is not a home of the group"
         if not judgement.calls_for_promotion:
             return f"the homes judge the primary {judgement}"
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/promotion_driver.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/promotion_driver.py
@@ -100,8 +100,8 @@
             target=target,
             avoid=avoid,
             highest_term=max((one.term for one in reports), default=0),
-            leases_out_at=history.leases_out_at(),
-            quick_from=history.quick_from,
+            leases_expire_at=history.leases_expire_at(),
+            removed_writers_expire_at=history.removed_writers_expire_at,
         )
 
     def tell_step(self, step: Action | Event) -> None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/server_alignment.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/server_alignment.py
@@ -4,7 +4,7 @@
 from jackdawcrank.groups.group_context import GroupContext
 from jackdawcrank_policy.coordination import (
     Announcement,
-    alignment,
+    required_announcement,
     takeover_delay,
 )
 from jackdawcrank_policy.values import ServerReport
@@ -38,7 +38,7 @@
           report: The server's newest report.
         """
         row = self.context.row
-        announcement = alignment(row, report) if row else None
+        announcement = required_announcement(row, report) if row else None
         if announcement is None:
             self.seen_at.pop(report.server, None)
             return
@@ -56,7 +56,9 @@
         """Return the seconds that this VM leaves to those before it."""
         if self.context.is_acting:
             return 0.0
-        return ALIGN_INTERVAL_SECONDS + takeover_delay(self.context.rank or 0)
+        return ALIGN_INTERVAL_SECONDS + takeover_delay(
+            self.context.takeover_rank or 0
+        )
 
     async def align(
         self, announcement: Announcement, report: ServerReport
