--- a/packages/jackdawcrank-policy/tests/acknowledgement/test_acknowledge.py
+++ b/packages/jackdawcrank-policy/tests/acknowledgement/test_acknowledge.py
@@ -33,24 +33,24 @@
     return acknowledge_read(4, lease, Quorum(3), "s1", REPLICAS, replies)
 
 
-def test_a_lease_is_enough() -> None:
+def test_held_lease_needs_no_confirmation() -> None:
     assert write(LeaseState.HELD, {}) == Done(AT)
 
 
-def test_a_lease_is_not_enough_where_confirmation_is_required() -> None:
+def test_required_confirmation_applies_to_a_held_lease() -> None:
     assert write(LeaseState.HELD, {}, always=True) == NeedConfirmation(
         REPLICAS, 1
     )
     assert write(LeaseState.HELD, {"s2": 4}, always=True) == Done(AT)
 
 
-def test_a_replica_of_the_same_term_stands_for_a_lapsed_lease() -> None:
+def test_replica_of_the_same_term_replaces_a_lapsed_lease() -> None:
     assert write(LeaseState.LAPSED, {}) == NeedConfirmation(REPLICAS, 1)
     assert write(LeaseState.LAPSED, {"s3": 4}) == Done(AT)
 
 
 @pytest.mark.parametrize("reply", [None, 3, 5])
-def test_no_answer_or_another_term_confirms_nothing(
+def test_missing_answer_or_other_term_is_no_confirmation(
     reply: int | None,
 ) -> None:
     assert write(LeaseState.LAPSED, {"s2": reply}) == NeedConfirmation(
@@ -60,12 +60,12 @@
     assert isinstance(decision, Unknown)
 
 
-def test_a_closed_lease_waits_for_the_next_term() -> None:
+def test_closed_lease_waits_for_the_next_term() -> None:
     assert write(LeaseState.CLOSED, {"s2": 4, "s3": 4}) == AwaitTerm(4)
     assert read(LeaseState.CLOSED, {}) == AwaitTerm(4)
 
 
-def test_a_read_needs_the_primary_and_a_replica() -> None:
+def test_read_without_a_lease_needs_the_primary_and_a_replica() -> None:
     assert read(LeaseState.HELD, {}) == Done()
     assert isinstance(read(LeaseState.LAPSED, {}), NeedConfirmation)
     assert read(LeaseState.LAPSED, {"s2": 4, "s3": 4}) == NeedConfirmation(
@@ -75,7 +75,7 @@
     assert isinstance(read(LeaseState.LAPSED, {"s1": 5, "s2": 4}), Unknown)
 
 
-def test_the_next_branch_settles_a_write_in_flight() -> None:
+def test_next_branch_resolves_an_unacknowledged_write() -> None:
     kept = Branch((TermStart(4, 0), TermStart(5, 20)))
     lost = Branch((TermStart(4, 0), TermStart(5, 19)))
     assert resolve_write(AT, kept) == Done(AT)
--- a/packages/jackdawcrank-policy/tests/acknowledgement/test_quorum.py
+++ b/packages/jackdawcrank-policy/tests/acknowledgement/test_quorum.py
@@ -9,7 +9,7 @@
 
 @pytest.mark.parametrize("server_count", range(1, 8))
 @pytest.mark.parametrize("change", [-1, 0, 1])
-def test_every_fenced_set_meets_every_confirming_set(
+def test_fenced_and_confirming_sets_always_overlap(
     server_count: int, change: int
 ) -> None:
     known_to_writer = server_count + change
@@ -24,6 +24,6 @@
             assert set(fenced) & set(confirming)
 
 
-def test_three_servers_fence_two_and_ask_one_replica() -> None:
+def test_three_servers_require_two_fences_and_one_replica() -> None:
     quorum = Quorum(3)
     assert (quorum.fence_count, quorum.replica_count) == (2, 1)
--- a/packages/jackdawcrank-policy/tests/coordination/test_coordination.py
+++ b/packages/jackdawcrank-policy/tests/coordination/test_coordination.py
@@ -35,21 +35,21 @@
     return ServerReport(server, term, role, position)
 
 
-def test_the_coordinator_comes_first_and_all_ranks_differ() -> None:
+def test_coordinator_ranks_first_and_all_ranks_differ() -> None:
     ranks = [takeover_rank(vm, "vm2", HOMES) for vm in HOMES]
     assert ranks == [1, 0, 2]
     assert takeover_rank("vm9", "vm2", HOMES) is None
     assert [takeover_rank(vm, "gone", HOMES) for vm in HOMES] == [0, 1, 2]
 
 
-def test_the_first_live_home_acts_for_a_dead_coordinator() -> None:
+def test_first_live_home_acts_for_a_dead_coordinator() -> None:
     assert acting_coordinator("vm2", HOMES, frozenset(HOMES)) == "vm2"
     live = frozenset({"vm1", "vm3"})
     assert acting_coordinator("vm2", HOMES, live) == "vm1"
     assert acting_coordinator("vm2", HOMES, frozenset()) is None
 
 
-def test_upkeep_names_the_live_homes_as_writers() -> None:
+def test_reconciled_row_lists_the_live_homes_as_writers() -> None:
     live = frozenset({"vm1", "vm3"})
     wanted = reconcile_row(ROW, "vm1", HOMES, live)
     assert wanted is not None
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "told"),
+    ("answer", "announcement_required"),
     [
         (report("s1", 2, ServerRole.PRIMARY, Position(2, 120)), False),
         (report("s2", 2, ServerRole.REPLICA, Position(2, 110)), False),
@@ -75,11 +75,15 @@
         (report("s3", 3, ServerRole.REPLICA, Position(2, 110)), False),
     ],
 )
-def test_servers_out_of_line_are_told(answer: ServerReport, told: bool) -> None:
-    assert (required_announcement(ROW, answer) is not None) is told
+def test_announcement_is_required_if_the_report_contradicts_the_row(
+    answer: ServerReport, announcement_required: bool
+) -> None:
+    assert (
+        required_announcement(ROW, answer) is not None
+    ) is announcement_required
 
 
-def test_a_server_fenced_after_the_announcement_is_told_again() -> None:
+def test_server_fenced_after_the_announcement_needs_another() -> None:
     missed = report("a", 3, ServerRole.REPLICA, Position(2, 5))
     row = attrs.evolve(
         ROW,
@@ -93,13 +97,13 @@
     )
 
 
-def test_the_divergent_tail_is_counted() -> None:
+def test_divergent_tail_counts_dropped_entries() -> None:
     assert divergent_tail(Position(1, 130), BRANCH) == 30
     assert divergent_tail(Position(1, 100), BRANCH) == 0
     assert divergent_tail(Position(2, 130), BRANCH) == 0
 
 
-def test_a_writer_that_left_is_waited_for() -> None:
+def test_lease_of_a_removed_writer_has_to_expire() -> None:
     history = RowHistory()
     history.observe(ROW, 1, 10.0, in_order=True)
     assert history.removed_writers_expire_at == 10.0 + LEASE_WAIT_SECONDS
@@ -114,7 +118,7 @@
     assert history.removed_writers_expire_at == 40.0 + LEASE_WAIT_SECONDS
 
 
-def test_a_term_that_this_vm_opened_has_no_other_writers() -> None:
+def test_observed_opening_leaves_no_other_lease_holders() -> None:
     history = RowHistory()
     history.observe(ROW, 1, 10.0, in_order=False)
     claim = attrs.evolve(ROW, term=3, phase=GroupPhase.PREPARING)
@@ -124,7 +128,7 @@
     assert history.removed_writers_expire_at == 24.0
 
 
-def test_a_departed_vm_s_seat_is_freed_after_its_connections() -> None:
+def test_departed_vm_seat_is_freed_after_its_connections_end() -> None:
     history = RowHistory()
     left = attrs.evolve(ROW, writers=("vm1", "!vm2"))
     history.observe(left, 1, 10.0, in_order=True)
@@ -135,14 +139,14 @@
     assert history.freed(86.0) == {"vm2"}
 
 
-def test_a_row_that_skipped_changes_is_not_trusted() -> None:
+def test_row_after_missed_changes_restarts_the_lease_wait() -> None:
     history = RowHistory()
     history.observe(ROW, 1, 10.0, in_order=True)
     history.observe(attrs.evolve(ROW, term=4), 9, 50.0, in_order=False)
     assert history.removed_writers_expire_at == 50.0 + LEASE_WAIT_SECONDS
 
 
-def test_leases_end_counted_from_the_first_claim_seen() -> None:
+def test_lease_expiry_counts_from_the_first_observed_claim() -> None:
     history = RowHistory()
     history.observe(ROW, 1, 10.0, in_order=True)
     assert history.leases_expire_at() is None
--- a/packages/jackdawcrank-policy/tests/lease/test_lease_table.py
+++ b/packages/jackdawcrank-policy/tests/lease/test_lease_table.py
@@ -30,21 +30,21 @@
     return table
 
 
-def test_a_lease_runs_from_before_the_read(table: LeaseTable) -> None:
+def test_lease_starts_when_the_read_is_sent(table: LeaseTable) -> None:
     assert table.holds("ledger", 4, 100.0 + LEASE_SECONDS - 0.001)
     assert not table.holds("ledger", 4, 100.0 + LEASE_SECONDS)
     late = table.state("ledger", 4, 100.0 + LEASE_SECONDS)
     assert late is LeaseState.LAPSED
 
 
-def test_a_pause_between_read_and_act_ends_the_lease(
+def test_lease_lapses_during_a_pause_after_the_read(
     table: LeaseTable,
 ) -> None:
     table.renew(101.0, 10)
     assert not table.holds("ledger", 4, 109.0)
 
 
-def test_an_older_answer_renews_nothing(table: LeaseTable) -> None:
+def test_answer_with_an_older_version_does_not_renew(table: LeaseTable) -> None:
     table.renew(105.0, 12)
     table.renew(107.0, 11)
     assert table.renewed_at == 105.0
@@ -58,17 +58,17 @@
         attrs.evolve(ROW, writers=("vm2",)),
     ],
 )
-def test_a_newer_row_closes_the_lease(table: LeaseTable, row: GroupRow) -> None:
+def test_newer_row_closes_the_lease(table: LeaseTable, row: GroupRow) -> None:
     assert table.install(row, 11)
     assert table.state("ledger", 4, 100.1) is LeaseState.CLOSED
 
 
-def test_an_older_row_changes_nothing(table: LeaseTable) -> None:
+def test_older_row_is_ignored(table: LeaseTable) -> None:
     assert not table.install(attrs.evolve(ROW, term=3), 9)
     assert table.holds("ledger", 4, 100.1)
 
 
-def test_a_lease_that_was_given_up_is_not_renewed(table: LeaseTable) -> None:
+def test_given_up_lease_is_not_renewed(table: LeaseTable) -> None:
     table.give_up("ledger", 4)
     table.renew(101.0, 10)
     assert table.state("ledger", 4, 101.1) is LeaseState.CLOSED
@@ -76,6 +76,6 @@
     assert table.holds("ledger", 5, 101.1)
 
 
-def test_the_closing_wait_covers_a_slow_clock() -> None:
+def test_lease_wait_covers_a_slow_clock() -> None:
     holder_seconds = LEASE_SECONDS * 1.02
     assert holder_seconds <= LEASE_WAIT_SECONDS
--- a/packages/jackdawcrank-policy/tests/promotion/conftest.py
+++ b/packages/jackdawcrank-policy/tests/promotion/conftest.py
@@ -75,7 +75,7 @@
 
 
 @attrs.define(eq=False)
-class Group:
+class ModelGroup:
     """Three servers, the store and a writer on the old primary's side.
 
     The old primary s1 and the writer are cut off from the coordinators and
@@ -116,15 +116,15 @@
         self.servers["s3"].pull(self.servers["s1"])
         self.servers["s2"].pull(self.servers["s1"], limit=2)
 
-    def pass_time(self, until: float | None = None) -> None:
+    def advance_time(self, until: float | None = None) -> None:
         """Let time pass and the cut-off writer work."""
         self.now = max(self.now + STEP_SECONDS, until or 0.0)
         for name in ("s2", "s3"):
             server = self.servers[name]
-            leader = self.servers.get(server.primary)
-            if leader is None or (name == "s2" and "s1" in self.cut_off):
+            pull_source = self.servers.get(server.primary)
+            if pull_source is None or (name == "s2" and "s1" in self.cut_off):
                 continue
-            server.pull(leader)
+            server.pull(pull_source)
         self.write()
 
     def write(self) -> None:
@@ -183,7 +183,7 @@
         }
         return self.history
 
-    def leaders(self) -> list[str]:
+    def active_primaries(self) -> list[str]:
         """Return the servers that accept commits in the newest term."""
         assert self.row is not None
         return [
@@ -200,16 +200,16 @@
     """Drives a promotion one action at a time, with a fault at one of them."""
 
     vm: str
-    group: Group
+    group: ModelGroup
     cause: PromotionCause = PromotionCause.FAILURE
     target: str | None = None
     fault: Fault | None = None
     fault_at: int = -1
     actions: collections.deque[Action] = attrs.field(factory=collections.deque)
     timers: dict[str, float] = attrs.field(factory=dict)
-    kinds: set[tuple[type, str]] = attrs.field(factory=set)
+    seen_actions: set[tuple[type, str]] = attrs.field(factory=set)
     stopped: bool = False
-    delayed: list[Event] = attrs.field(factory=list)
+    pending_events: list[Event] = attrs.field(factory=list)
     end: Finished | Abandoned | None = None
     promotion: Promotion = attrs.field(init=False)
 
@@ -234,62 +234,62 @@
     def resume(self) -> None:
         """Go on after a pause with what had arrived meanwhile."""
         self.stopped = False
-        for event in self.delayed:
-            self.take(event)
+        for event in self.pending_events:
+            self.deliver_event(event)
         self.run()
 
     def step(self) -> None:
         """Carry out the next action, or let the next timer fire."""
         if self.actions:
-            self.carry_out(self.actions.popleft())
+            self.execute_action(self.actions.popleft())
             return
         if not self.timers:
             self.stopped = True
             return
         timer = min(self.timers, key=lambda name: self.timers[name])
-        self.group.pass_time(self.timers.pop(timer))
-        self.take(TimerFired(timer))
+        self.group.advance_time(self.timers.pop(timer))
+        self.deliver_event(TimerFired(timer))
 
-    def carry_out(self, action: Action) -> None:
+    def execute_action(self, action: Action) -> None:
         if isinstance(action, Finished | Abandoned):
             self.end = action
             return
         if isinstance(action, SetTimer):
             self.timers[action.timer] = action.at
             return
-        here = self.is_first_of_its_kind(action) and (
-            len(self.kinds) - 1 == self.fault_at
+        fault_due = self.is_first_of_its_kind(action) and (
+            len(self.seen_actions) - 1 == self.fault_at
         )
-        if here and self.fault in (Fault.CRASH_BEFORE, Fault.PAUSE_BEFORE):
+        if fault_due and self.fault in (Fault.CRASH_BEFORE, Fault.PAUSE_BEFORE):
             self.actions.appendleft(action)
             self.stopped = True
             return
-        if here and self.fault is Fault.LOST_REQUEST:
-            self.take(self.no_answer(action))
+        if fault_due and self.fault is Fault.LOST_REQUEST:
+            self.deliver_event(self.lost_answer_event(action))
             return
-        event = self.act(action)
-        self.group.pass_time()
-        if here and self.fault in (Fault.CRASH_AFTER, Fault.PAUSE_AFTER):
-            self.delayed.append(event)
+        event = self.perform(action)
+        self.group.advance_time()
+        if fault_due and self.fault in (Fault.CRASH_AFTER, Fault.PAUSE_AFTER):
+            self.pending_events.append(event)
             self.stopped = True
-        elif here and self.fault is Fault.LOST_ANSWER:
-            self.take(self.no_answer(action))
+        elif fault_due and self.fault is Fault.LOST_ANSWER:
+            self.deliver_event(self.lost_answer_event(action))
         else:
-            self.take(event)
+            self.deliver_event(event)
 
     def is_first_of_its_kind(self, action: Action) -> bool:
         """Return whether an action is no repetition of an earlier one."""
         subject = getattr(action, "server", getattr(action, "vm", ""))
         kind = (type(action), subject)
-        first = kind not in self.kinds
-        self.kinds.add(kind)
+        first = kind not in self.seen_actions
+        self.seen_actions.add(kind)
         return first
 
-    def take(self, event: Event | None) -> None:
+    def deliver_event(self, event: Event | None) -> None:
         if event is not None:
             self.actions.extend(self.promotion.on(event, self.group.now))
 
-    def no_answer(self, action: Action) -> Event | None:
+    def lost_answer_event(self, action: Action) -> Event | None:
         match action:
             case ClaimTerm() | OpenTerm():
                 return StoreLost()
@@ -299,7 +299,7 @@
                 return AnnounceFailed(action.server)
         return None
 
-    def act(self, action: Action) -> Event | None:
+    def perform(self, action: Action) -> Event | None:
         group = self.group
         match action:
             case ClaimTerm(expected, row):
@@ -336,9 +336,9 @@
 
 
 @pytest.fixture
-def make_group() -> Callable[..., Group]:
-    def make(confirm_writes: bool = False) -> Group:
-        group = Group(confirm_writes)
+def make_group() -> Callable[..., ModelGroup]:
+    def make(confirm_writes: bool = False) -> ModelGroup:
+        group = ModelGroup(confirm_writes)
         group.open_first_term()
         return group
 
--- a/packages/jackdawcrank-policy/tests/promotion/test_promotion.py
+++ b/packages/jackdawcrank-policy/tests/promotion/test_promotion.py
@@ -15,10 +15,12 @@
 from jackdawcrank_policy.values import GroupPhase, Position
 from jackdawcrank_standins.history import check_history
 
-ACTIONS_OF_A_PROMOTION = 8
+PROMOTION_ACTION_COUNT = 8
 
 
-def finish(coordinate: Callable[..., Any], group: Any, first: Any) -> None:
+def finish_promotion(
+    coordinate: Callable[..., Any], group: Any, first: Any
+) -> None:
     """Let another coordinator finish what a failed one began."""
     for number in range(3):
         if group.row.term > 1 and group.row.phase is GroupPhase.ACTIVE:
@@ -28,7 +30,7 @@
 
 
 @pytest.mark.parametrize("confirm_writes", [False, True])
-@pytest.mark.parametrize("fault_at", range(ACTIONS_OF_A_PROMOTION))
+@pytest.mark.parametrize("fault_at", range(PROMOTION_ACTION_COUNT))
 def test_one_primary_and_no_false_acknowledgement_after_a_fault(
     make_group: Callable[..., Any],
     coordinate: Callable[..., Any],
@@ -40,19 +42,19 @@
     cause = PromotionCause.FAILURE
     first = coordinate("vm-new", group, cause, fault=fault, fault_at=fault_at)
     first.run()
-    finish(coordinate, group, cause)
+    finish_promotion(coordinate, group, cause)
     if fault.value.startswith("pause"):
         first.resume()
     assert group.row.phase is GroupPhase.ACTIVE
     assert group.row.term > 1
-    announce_again(group)
-    assert group.leaders() == [group.row.primary]
+    announce_to_reachable(group)
+    assert group.active_primaries() == [group.row.primary]
     for _ in range(5):
-        group.pass_time()
+        group.advance_time()
     assert check_history(group.finished_history()) == []
 
 
-def announce_again(group: Any) -> None:
+def announce_to_reachable(group: Any) -> None:
     """Name the open term's primary to the servers that can be reached."""
     offset = group.row.branch.starts[-1].offset
     for name in ("s2", "s3"):
@@ -60,15 +62,15 @@
         group.servers[name].announce(group.row.term, offset, group.row.primary)
 
 
-def test_the_faults_reach_every_action(
+def test_fault_range_covers_every_action(
     make_group: Callable[..., Any], coordinate: Callable[..., Any]
 ) -> None:
     coordinator = coordinate("vm-new", make_group())
     coordinator.run()
-    assert len(coordinator.kinds) == ACTIONS_OF_A_PROMOTION
+    assert len(coordinator.seen_actions) == PROMOTION_ACTION_COUNT
 
 
-def test_the_most_advanced_replica_leads(
+def test_most_advanced_replica_becomes_primary(
     make_group: Callable[..., Any], coordinate: Callable[..., Any]
 ) -> None:
     group = make_group()
@@ -78,7 +80,7 @@
     assert group.row.primary == "s3"
 
 
-def test_leases_are_waited_out_when_a_writer_is_silent(
+def test_term_opens_after_lease_expiry_if_a_writer_does_not_answer(
     make_group: Callable[..., Any], coordinate: Callable[..., Any]
 ) -> None:
     group = make_group()
@@ -86,7 +88,7 @@
     assert group.history.terms[-1].opened_at >= LEASE_WAIT_SECONDS
 
 
-def test_a_promise_replaces_the_wait(
+def test_given_up_lease_opens_the_term_early(
     make_group: Callable[..., Any], coordinate: Callable[..., Any]
 ) -> None:
     group = make_group()
@@ -96,7 +98,7 @@
     assert check_history(group.finished_history()) == []
 
 
-def test_two_coordinators_race_to_one_term(
+def test_only_one_of_two_coordinators_opens_the_term(
     make_group: Callable[..., Any], coordinate: Callable[..., Any]
 ) -> None:
     group = make_group()
@@ -113,7 +115,7 @@
 
 @pytest.mark.parametrize("writer_answers", [False, True])
 @pytest.mark.parametrize("confirm_writes", [False, True])
-def test_one_reachable_server_of_three_needs_force(
+def test_one_reachable_server_of_three_requires_forced_promotion(
     make_group: Callable[..., Any],
     coordinate: Callable[..., Any],
     confirm_writes: bool,
@@ -132,7 +134,7 @@
     assert group.row.primary == "s3"
 
 
-def test_a_lone_replica_does_not_lead_against_the_others(
+def test_single_replica_without_quorum_does_not_become_primary(
     make_group: Callable[..., Any], coordinate: Callable[..., Any]
 ) -> None:
     group = make_group()
@@ -144,12 +146,12 @@
     coordinate("vm-next", group, PromotionCause.TAKEOVER).run()
     assert group.row.phase is GroupPhase.ACTIVE
     for _ in range(5):
-        group.pass_time()
+        group.advance_time()
     assert check_history(group.finished_history()) == []
 
 
-@pytest.mark.parametrize("fault_at", range(1, ACTIONS_OF_A_PROMOTION))
-def test_a_lost_answer_after_the_claim_does_not_end_a_promotion(
+@pytest.mark.parametrize("fault_at", range(1, PROMOTION_ACTION_COUNT))
+def test_lost_answer_after_the_claim_does_not_abandon_the_promotion(
     make_group: Callable[..., Any],
     coordinate: Callable[..., Any],
     lost: Any,
@@ -162,7 +164,7 @@
     assert group.row.term == 2
 
 
-def test_switch_over_loses_nothing_and_moves_to_its_target(
+def test_switch_over_moves_to_its_target_without_loss(
     make_group: Callable[..., Any], coordinate: Callable[..., Any]
 ) -> None:
     group = make_group()
@@ -180,7 +182,7 @@
     assert check_history(group.finished_history()) == []
 
 
-def test_switch_over_to_a_stuck_target_keeps_the_primary(
+def test_switch_over_to_a_stalled_target_keeps_the_primary(
     make_group: Callable[..., Any], coordinate: Callable[..., Any]
 ) -> None:
     group = make_group()
@@ -190,11 +192,11 @@
     cause = PromotionCause.SWITCH_OVER
     coordinate("vm-new", group, cause, target="s2").run()
     assert group.row.primary == "s1"
-    assert group.leaders() == ["s1"]
+    assert group.active_primaries() == ["s1"]
     assert check_history(group.finished_history()) == []
 
 
-def test_a_divergent_server_is_not_chosen(
+def test_divergent_server_is_not_chosen(
     make_group: Callable[..., Any], coordinate: Callable[..., Any]
 ) -> None:
     group = make_group()
