--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/__init__.py
@@ -1,4 +1,4 @@
-"""When a proxy may tell a caller that a write or read stands."""
+"""Rules for acknowledging writes and reads of the primary to a caller."""
 
 from jackdawcrank_policy.acknowledgement.acknowledge import (
     AwaitTerm,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
@@ -1,4 +1,4 @@
-"""The rule by which a committed write or a primary's read is acknowledged."""
+"""Acknowledgement of committed writes and of reads from the primary."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -17,11 +17,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class NeedConfirmation:
-    """More servers have to confirm the term before an acknowledgement.
+    """More servers have to confirm the term before the acknowledgement.
 
     Attributes:
       servers: The servers that have not been asked yet.
-      count: How many further confirmations are needed.
+      count: The number of further confirmations that are needed.
     """
 
     servers: tuple[str, ...]
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class AwaitTerm:
-    """The term was closed; the next one's branch decides.
+    """The term is closed; the branch of a later term determines the outcome.
 
     Attributes:
       above: The closed term. The caller waits for an active row of a higher
@@ -49,18 +49,24 @@
     replicas: tuple[str, ...],
     replies: Mapping[str, int | None],
 ) -> Done | NeedConfirmation | AwaitTerm | Unknown:
-    """Decide on a write that the primary has committed.
+    """Decide whether a write that the primary committed is acknowledged.
 
     Args:
       position: The write's position, on the branch of `term`.
       term: The open term: the term of the position, or a later one whose
         branch keeps the position according to `resolve_write`.
-      lease: The state of the proxy's lease on `term` at this moment.
+      lease: The current state of the proxy's lease on `term`.
       quorum: The quorum of the group's servers.
-      confirm_always: Whether the group requires confirmations with a lease.
+      confirm_always: Whether the group requires confirmations even while the
+        lease is held.
       replicas: The replicas that can be asked.
-      replies: For each replica asked, its fence term when it held the
-        position, or None if it did not confirm.
+      replies: For each replica that was asked, its fence term at the time
+        when its log contained the position, or None if it did not confirm.
+
+    Returns:
+      `Done` if the write is acknowledged, `NeedConfirmation` if further
+      replicas have to be asked, `AwaitTerm` if the term is closed, or
+      `Unknown` if the remaining replicas cannot form a quorum.
     """
     if lease is LeaseState.CLOSED:
         return AwaitTerm(above=term)
@@ -80,18 +86,24 @@
     replicas: tuple[str, ...],
     replies: Mapping[str, int | None],
 ) -> Done | NeedConfirmation | AwaitTerm | Unknown:
-    """Decide on a read that the primary has answered.
+    """Decide whether a read that the primary answered is acknowledged.
 
-    Without a lease, the primary and enough replicas have to show after the
-    read that no later term has fenced them.
+    Without a held lease, the primary and enough replicas have to confirm
+    after the read that they are not fenced with a later term.
 
     Args:
       term: The term of the primary.
-      lease: The state of the proxy's lease on `term` at this moment.
+      lease: The current state of the proxy's lease on `term`.
       quorum: The quorum of the group's servers.
       primary: The primary's name.
       replicas: The replicas that can be asked.
-      replies: For each server asked after the read, its fence term or None.
+      replies: For each server that was asked after the read, its fence term,
+        or None if it did not confirm.
+
+    Returns:
+      `Done` if the read is acknowledged, `NeedConfirmation` if further
+      servers have to be asked, `AwaitTerm` if the term is closed, or
+      `Unknown` if the term cannot be confirmed.
     """
     if lease is LeaseState.CLOSED:
         return AwaitTerm(above=term)
@@ -109,13 +121,14 @@
 
 
 def resolve_write(position: Position, branch: Branch) -> Done | NotRun:
-    """Tell whether the branch of a later term kept a committed write.
+    """Return whether the branch of a later term keeps a committed write.
 
-    A kept write is acknowledged by `acknowledge` under the later term.
+    A kept write still has to pass `acknowledge` under the later term.
 
     Args:
       position: The write's position.
-      branch: The branch of an open term above the position's.
+      branch: The branch of an open term that is higher than the term of the
+        position.
     """
     if branch.keeps(position):
         return Done(position)
@@ -132,7 +145,7 @@
     servers: tuple[str, ...],
     replies: Mapping[str, int | None],
 ) -> NeedConfirmation | Unknown | None:
-    """Return None once enough servers confirmed the term."""
+    """Return None if enough servers confirmed the term."""
     confirmed = sum(1 for reply in replies.values() if reply == term)
     if confirmed >= needed:
         return None
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""Who coordinates a group, and what keeps its servers in line."""
+"""Coordination of a group and reconciliation of its row and servers."""
 
 from jackdawcrank_policy.coordination.alignment import (
     Announcement,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/alignment.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/alignment.py
@@ -1,4 +1,4 @@
-"""Keeping a group's servers in line with the open term."""
+"""Comparison of a group's servers with the open term."""
 
 import attrs
 
@@ -14,14 +14,15 @@
 
 @attrs.frozen
 class Announcement:
-    """What a server has to be told.
+    """Announcement of the open term that a server has to receive.
 
     Attributes:
       server: The server's name.
-      term: The open term; the server is fenced with it first.
-      offset: Where the term began.
+      term: The open term. The server has to be fenced with it first.
+      offset: The log offset at which the term begins.
       primary: The primary of the term.
-      divergent_entries: Entries of the server's log that the term dropped.
+      divergent_entries: The number of entries in the server's log that are
+        not part of the term's branch.
     """
 
     server: str
@@ -32,10 +33,10 @@
 
 
 def divergent_tail(position: Position, branch: Branch) -> int:
-    """Return how many entries up to a position the branch does not hold.
+    """Return the number of entries up to a position that are off the branch.
 
     Args:
-      position: The end of a server's log.
+      position: The last position of a server's log.
       branch: The branch of the open term.
     """
     if branch.keeps(position):
@@ -51,13 +52,14 @@
 def required_announcement(
     row: GroupRow, report: ServerReport
 ) -> Announcement | None:
-    """Return what to tell a server whose report is not as the row says.
+    """Return the announcement for a server whose report contradicts the row.
 
-    Covers a replaced primary that returns, a replica that restarted, and a
-    primary whose coordinator died before it announced the term. A primary
-    that does not hold the term's fence, or whose log does not end where the
-    term began, has lost its state and is never put into office again: it
-    would write other entries at positions that the term has used.
+    This covers a replaced primary that returns, a replica that restarted, and
+    a primary whose coordinator failed before it announced the term. No
+    announcement is returned for a primary that is not fenced with the term or
+    whose log does not end where the term begins. Such a primary has lost its
+    state, and if it were reinstated, it would write different entries at
+    positions that the term has already used.
 
     Args:
       row: The group's newest row.
@@ -85,10 +87,10 @@
 
 
 def _follows_primary(row: GroupRow, report: ServerReport) -> bool:
-    """Return whether a server surely follows the open term's primary.
+    """Return whether a server is known to follow the open term's primary.
 
-    A server that was paused may be fenced with the term after its primary was
-    named, so the fence alone does not show that it follows.
+    A server that was paused may be fenced with the term after the primary was
+    announced. The fence alone is therefore no proof that it follows.
     """
     fenced_with_term = (
         report.term == row.term and report.role is ServerRole.REPLICA
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/reconciliation.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/reconciliation.py
@@ -1,4 +1,4 @@
-"""Keeping a group's row in line with its homes."""
+"""Reconciliation of a group's row with its homes."""
 
 import attrs
 
@@ -14,19 +14,19 @@
     live: frozenset[str],
     freed: frozenset[str] = frozenset(),
 ) -> GroupRow | None:
-    """Return the row as the acting coordinator would have it, or None.
+    """Return the row that the acting coordinator has to write, or None.
 
-    The term stays. A VM that leaves the writers may hold the lease for
-    `LEASE_WAIT_SECONDS` more, so a promotion relies on the promises of the
-    remaining writers only that long after the change
-    (`PromotionPlan.removed_writers_expire_at`).
+    The term is unchanged. A VM that is removed from the writers may hold its
+    lease for up to `LEASE_WAIT_SECONDS`, so a promotion must not close the
+    leases on the answers of the remaining writers alone before that time has
+    passed (`PromotionPlan.removed_writers_expire_at`).
 
     Args:
       row: The group's newest row.
-      vm: The VM that acts for the group.
+      vm: The VM that evaluates the row.
       homes: The group's homes, in the order on which all VMs agree.
       live: The VMs that are known to be alive.
-      freed: Departed VMs whose connections have run out.
+      freed: Departed VMs whose connections have all ended.
     """
     if row.phase is not GroupPhase.ACTIVE:
         return None
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/row_history.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/row_history.py
@@ -1,4 +1,4 @@
-"""What one VM knows of how a group's row came to be."""
+"""Changes of a group's row that one VM has observed."""
 
 import attrs
 
@@ -11,21 +11,23 @@
 
 @attrs.define
 class RowHistory:
-    """The newest row of a group and what is known of its writers.
+    """The newest row of a group and the lease expiry of its former writers.
 
-    A VM that left a row's writers may hold the lease for
-    `LEASE_WAIT_SECONDS` after the change; a VM that did not see the change
-    counts from when it first saw the row.
+    A VM that was removed from the writers may hold its lease for up to
+    `LEASE_WAIT_SECONDS` after the change. A VM that did not observe the change
+    counts from the time at which it first observed the row.
 
     Attributes:
-      row: The newest row; None before the first.
+      row: The newest row; None before the first one is observed.
       version: The change log's version of the row.
       removed_writers_expire_at: The time, in seconds, from which no VM
         outside the row's writers can hold a lease of the current or an
         earlier term.
-      preparing_since: When a claim above the last open term was first seen;
-        every lease of that term has ended `LEASE_WAIT_SECONDS` later.
-      departed_since: When each departed VM was first seen as such.
+      preparing_since: When a claim above the last open term was first
+        observed, in seconds. Every lease of that term has expired
+        `LEASE_WAIT_SECONDS` later.
+      departed_since: When each departed VM was first observed as departed, in
+        seconds.
     """
 
     row: GroupRow | None = None
@@ -37,12 +39,12 @@
     def observe(
         self, row: GroupRow, version: int, now: float, in_order: bool
     ) -> bool:
-        """Take a row; return whether it is newer than the known one.
+        """Record a row if it is newer and return whether it was.
 
         Args:
           row: The row.
           version: The change log's version at which it was written.
-          now: The present time, in seconds.
+          now: The current time, in seconds.
           in_order: Whether every earlier change of the row was observed.
         """
         if version <= self.version:
@@ -64,19 +66,22 @@
         return True
 
     def observe_claim(self, now: float) -> None:
-        """Note that a claim above the open term stands in the store.
+        """Record that the store contains a claim above the open term.
 
         Args:
-          now: When it was learned, in seconds.
+          now: When the VM learned of the claim, in seconds.
         """
         if self.preparing_since is None:
             self.preparing_since = now
 
     def freed(self, now: float) -> frozenset[str]:
-        """Return the departed VMs whose connections have run out.
+        """Return the departed VMs whose connections have all ended.
+
+        This is assumed `SEAT_RELEASE_SECONDS` after a VM was first observed as
+        departed.
 
         Args:
-          now: The present time, in seconds.
+          now: The current time, in seconds.
         """
         return frozenset(
             vm
@@ -85,7 +90,10 @@
         )
 
     def leases_expire_at(self) -> float | None:
-        """Return when all leases of the last open term have ended, if known."""
+        """Return when all leases of the last open term have expired.
+
+        The time is in seconds, and None if no claim has been observed.
+        """
         if self.preparing_since is None:
             return None
         return self.preparing_since + LEASE_WAIT_SECONDS
@@ -96,6 +104,6 @@
 
 
 def _term_opened(earlier: GroupRow, row: GroupRow) -> bool:
-    """Return whether a term opened between two rows."""
+    """Return whether a term was opened between two rows."""
     claimed = earlier.phase is GroupPhase.PREPARING
     return claimed or earlier.term < row.term
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/takeover.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/takeover.py
@@ -1,4 +1,4 @@
-"""The staggered order in which the homes of a group act for it."""
+"""Order and delays in which the homes of a group act for it."""
 
 RANK_DELAY_SECONDS = 0.4
 PREPARING_TAKEOVER_SECONDS = 1.0
@@ -7,12 +7,12 @@
 def takeover_rank(
     vm: str, coordinator: str, homes: tuple[str, ...]
 ) -> int | None:
-    """Return how many others should act before a VM, or None for no home.
+    """Return how many homes act before a VM, or None if it is not a home.
 
-    The coordinator comes first, the other homes follow in their order.
+    The coordinator ranks first. The other homes follow in their order.
 
     Args:
-      vm: The VM in question.
+      vm: The VM.
       coordinator: The coordinator that the group's row names.
       homes: The group's homes, in the order on which all VMs agree.
     """
@@ -28,7 +28,10 @@
 def acting_coordinator(
     coordinator: str, homes: tuple[str, ...], live: frozenset[str]
 ) -> str | None:
-    """Return the VM that keeps a group in order, or None if none is alive.
+    """Return the VM that coordinates a group, or None if no home is alive.
+
+    It is the coordinator named by the row, or the first live home if that one
+    is not alive or no longer a home.
 
     Args:
       coordinator: The coordinator that the group's row names.
@@ -41,9 +44,9 @@
 
 
 def takeover_delay(home_rank: int) -> float:
-    """Return the seconds that a home of a rank leaves to those before it.
+    """Return how long a home waits for higher-ranked ones, in seconds.
 
     Args:
-      home_rank: The rank.
+      home_rank: The takeover rank of the home.
     """
     return home_rank * RANK_DELAY_SECONDS
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/lease/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/lease/__init__.py
@@ -1,4 +1,4 @@
-"""Term leases: when a proxy may act for a database group's term."""
+"""Term leases, which permit a proxy to act for a database group's term."""
 
 from jackdawcrank_policy.lease.lease_state import LeaseState
 from jackdawcrank_policy.lease.lease_table import (
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/lease/lease_state.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/lease/lease_state.py
@@ -1,16 +1,16 @@
-"""The state of one term lease as its holder sees it."""
+"""State of a term lease from the view of its holder."""
 
 import enum
 
 
 class LeaseState(enum.Enum):
-    """Whether a proxy may act for a term.
+    """States of a proxy's lease on a term.
 
     Attributes:
-      HELD: The lease is unexpired.
+      HELD: The lease has not expired; the proxy may act for the term.
       LAPSED: The lease was not renewed in time; the term may still be open.
-      CLOSED: The term is not this proxy's to act for: it was given up,
-        replaced or never granted to this VM.
+      CLOSED: The proxy may not act for the term, because the term was given
+        up, replaced, or never granted to this VM.
     """
 
     HELD = "held"
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/lease/lease_table.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/lease/lease_table.py
@@ -1,4 +1,4 @@
-"""The term leases that one VM holds."""
+"""Term leases that one VM holds."""
 
 import math
 
@@ -14,20 +14,21 @@
 
 @attrs.define
 class LeaseTable:
-    """The leases of one VM on the terms of the groups that it serves.
+    """Leases of one VM on the terms of the groups that it serves.
 
-    One read of the change log's head renews every lease. `state` and `holds`
-    compare the time of the act with the time at which that read was sent, so
-    a caller reads its clock and asks after its last await before the act; an
-    answer from before a pause of the process is then never acted on.
+    One read of the head of the change log renews every lease. `state` and
+    `holds` compare the time of an action with the time at which that read was
+    sent. Callers have to read the clock and check the lease after their last
+    await before the action. Otherwise the process could pause in between and
+    act on a lease that has expired meanwhile.
 
     Attributes:
       vm: The VM that owns the table.
       renewed_at: When the newest renewing read was sent, in seconds.
-      version: The newest change of the log that is known to be applied.
+      version: The log version of the newest change known to be applied.
       rows: The newest row of each group.
-      row_versions: The log version at which each row was written.
-      given_up: The highest term of each group that was given up.
+      row_versions: The log version at which the row of each group was written.
+      given_up: The highest term that was given up, for each group.
     """
 
     vm: str
@@ -40,11 +41,12 @@
     def renew(self, read_sent_at: float, version_applied: int) -> None:
         """Renew all leases from a read of the change log's head.
 
-        Call only once every change up to the version read is installed.
+        Call only after every change up to the returned version is installed.
+        A version older than the known one renews nothing.
 
         Args:
-          read_sent_at: The time before the read was sent, in seconds.
-          version_applied: The version that the read returned.
+          read_sent_at: A time before the read was sent, in seconds.
+          version_applied: The log version that the read returned.
         """
         if version_applied < self.version:
             return
@@ -52,10 +54,10 @@
         self.renewed_at = max(self.renewed_at, read_sent_at)
 
     def install(self, row: GroupRow, version: int) -> bool:
-        """Take a group's row; return whether it was newer than the known.
+        """Store a group's row if it is newer and return whether it was.
 
-        A row that arrives ahead of the change log is safe to install: the
-        log moved to it after every read that this table was renewed by.
+        A row may be installed before the change log delivers it: it was
+        written after every read that has renewed this table.
 
         Args:
           row: The row.
@@ -68,7 +70,7 @@
         return True
 
     def give_up(self, group: str, term: int) -> None:
-        """Promise never again to act for a term or an earlier one.
+        """Give up the leases on a term and all earlier ones permanently.
 
         Args:
           group: The group's name.
@@ -77,7 +79,7 @@
         self.given_up[group] = max(term, self.given_up.get(group, 0))
 
     def forget(self, group: str) -> None:
-        """Drop a removed group."""
+        """Remove the row of a group that no longer exists."""
         self.rows.pop(group, None)
         self.row_versions.pop(group, None)
 
@@ -87,7 +89,8 @@
         Args:
           group: The group's name.
           term: The term to act for.
-          now: The time of the act, read after the last await before it.
+          now: The time of the action in seconds, read after the last await
+            before it.
         """
         row = self.rows.get(group)
         if row is None or row.phase is not GroupPhase.ACTIVE:
@@ -101,11 +104,12 @@
         return LeaseState.LAPSED
 
     def holds(self, group: str, term: int, now: float) -> bool:
-        """Return whether the lease on a term is held at the time of an act.
+        """Return whether the lease on a term is held at the time of an action.
 
         Args:
           group: The group's name.
           term: The term to act for.
-          now: The time of the act, read after the last await before it.
+          now: The time of the action in seconds, read after the last await
+            before it.
         """
         return self.state(group, term, now) is LeaseState.HELD
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/__init__.py
@@ -1,4 +1,4 @@
-"""The steps by which a new primary replaces an old one."""
+"""State machine that promotes a new primary of a database group."""
 
 from jackdawcrank_policy.promotion.actions import (
     Abandoned,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/actions.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a promotion asks of its shell."""
+"""Actions that a promotion returns for its caller to execute."""
 
 import enum
 
@@ -11,15 +11,17 @@
     """The timers of a promotion.
 
     Attributes:
-      LEASES: The leases of the earlier terms have run out.
-      GRACE: Servers that are slow to be fenced are waited for no more.
-      FENCE_RETRY: Servers that could not be fenced are tried again.
-      OPEN_RETRY: The opening of the term is tried again.
-      QUIESCE: What runs on a primary to be moved is waited for no more.
-      CATCH_UP: A planned target is waited for no more.
-      PROBE: A planned target is probed again.
-      ANNOUNCE_RETRY: The new primary is told again.
-      DEADLINE: The promotion gives up where it cannot finish.
+      LEASES: No lease of an earlier term can be held any more.
+      GRACE: The grace period for servers that are not fenced yet has ended.
+      FENCE_RETRY: The next attempt to fence the failed servers is due.
+      OPEN_RETRY: The next attempt to open the term is due.
+      QUIESCE: The wait for work in progress on the old primary of a
+        switch-over has timed out.
+      CATCH_UP: The wait for the target of a switch-over has timed out.
+      PROBE: The next probe of the target of a switch-over is due.
+      ANNOUNCE_RETRY: The next announcement to the new primary is due.
+      DEADLINE: The promotion has timed out. It is abandoned unless it is
+        already opening its term.
     """
 
     LEASES = "leases"
@@ -35,10 +37,10 @@
 
 @attrs.frozen
 class ClaimTerm:
-    """Compare-and-set the group's row to a claimed term.
+    """Claim a term by a compare-and-set of the group's row.
 
     Attributes:
-      expected: The row that has to stand, or None for no row.
+      expected: The row that the store has to contain, or None for no row.
       row: The new row, in the preparing phase.
     """
 
@@ -48,7 +50,7 @@
 
 @attrs.frozen
 class OpenTerm:
-    """Compare-and-set the claimed row to an open term.
+    """Open the claimed term by a compare-and-set of the group's row.
 
     Attributes:
       expected: The claimed row.
@@ -85,7 +87,7 @@
 
 @attrs.frozen
 class AskGiveUp:
-    """Ask a writer to give up its leases on every term below the claimed.
+    """Ask a writer to give up its leases on all terms below the claimed one.
 
     Attributes:
       vm: The writer's VM.
@@ -98,12 +100,12 @@
 
 @attrs.frozen
 class AnnouncePrimary:
-    """Tell a server who leads the open term.
+    """Announce the primary of the open term to a server.
 
     Attributes:
-      server: The server to tell.
+      server: The server that receives the announcement.
       term: The open term.
-      offset: Where the term began.
+      offset: The log offset at which the term begins.
       primary: The primary's name.
     """
 
@@ -115,11 +117,11 @@
 
 @attrs.frozen
 class SetTimer:
-    """Deliver `TimerFired` at a time; an earlier setting is replaced.
+    """Schedule a `TimerFired` event, replacing an earlier schedule.
 
     Attributes:
       timer: The timer.
-      at: When, in seconds.
+      at: The time at which it fires, in seconds.
     """
 
     timer: Timer
@@ -128,11 +130,11 @@
 
 @attrs.frozen
 class Finished:
-    """The promotion is over and the term is open.
+    """The promotion has ended with an open term.
 
     Attributes:
       row: The group's new row.
-      announced: Whether the new primary is known to have taken over.
+      announced: Whether the new primary accepted the announcement.
     """
 
     row: GroupRow
@@ -140,7 +142,7 @@
 
 
 class AbandonReason(enum.StrEnum):
-    """Why a promotion ended without opening its term."""
+    """Reasons for which a promotion ends without opening its term."""
 
     SUPERSEDED = "superseded"
     STORE_UNAVAILABLE = "store_unavailable"
@@ -150,11 +152,12 @@
 
 @attrs.frozen
 class Abandoned:
-    """The promotion ended without opening its term.
+    """The promotion has ended without opening its term.
 
     Attributes:
-      reason: Why.
-      current: The row that stands in the way, if it is known.
+      reason: The reason.
+      current: The conflicting row in the store, or the row that this
+        promotion claimed, if there is one.
     """
 
     reason: AbandonReason
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/choice.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/choice.py
@@ -1,4 +1,4 @@
-"""The choice of the next primary and of where its term begins."""
+"""Selection of the next primary and of the offset where its term begins."""
 
 from collections.abc import Iterable
 
@@ -20,14 +20,16 @@
 ) -> ServerReport | None:
     """Return the report of the most advanced fenced server, or None.
 
-    A server whose log left the branch cannot lead. Among equals, the target
-    comes first, servers to avoid come last and names decide.
+    A server whose log has diverged from the branch cannot become primary.
+    Between equally advanced servers, the target is preferred, servers to
+    avoid come last, and the remaining ties are broken by name.
 
     Args:
-      reports: The reports of the fenced servers, from after their fences.
-      branch: The branch of the last open term; an empty one takes any log.
-      avoid: Servers that are not preferred among equals.
-      target: The server that is preferred among equals.
+      reports: The reports that the fenced servers gave after their fencing.
+      branch: The branch of the last open term. An empty branch accepts any
+        log.
+      avoid: Servers that rank last among equally advanced ones.
+      target: The server that ranks first among equally advanced ones.
     """
     candidates = [one for one in reports if _is_on(branch, one.position)]
     if not candidates:
@@ -44,15 +46,16 @@
 
 
 def extend_branch(branch: Branch, term: int, offset: int) -> Branch:
-    """Return the branch with a term that begins at an offset.
+    """Return the branch extended by a term that begins at an offset.
 
-    Earlier terms that began above the offset kept no entries; their starts
-    move down to it, so that no lost entry is taken for a kept one.
+    The new term keeps no entries of earlier terms that began above the
+    offset. The starts of those terms are lowered to the offset, so that
+    `Branch.keeps` does not report a lost entry as kept.
 
     Args:
       branch: The branch of the last open term.
       term: The new term.
-      offset: The last entry that the new term keeps.
+      offset: The offset of the last entry that the new term keeps.
     """
     clamped = tuple(
         attrs.evolve(start, offset=min(start.offset, offset))
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/events.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/events.py
@@ -1,4 +1,4 @@
-"""The events that drive a promotion."""
+"""Events that a promotion reacts to."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Claimed:
-    """The claim of the term is in the store.
+    """The store contains the claim of the term.
 
     Attributes:
       row: The row as stored, in the preparing phase.
@@ -21,7 +21,7 @@
     """Another VM changed the group's row before the claim.
 
     Attributes:
-      current: The row that stands, if there is one.
+      current: The row in the store, if there is one.
     """
 
     current: GroupRow | None
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Opened:
-    """The open term is in the store.
+    """The store contains the open term.
 
     Attributes:
       row: The row as stored, in the active phase.
@@ -43,7 +43,7 @@
     """The row in the store is not the one that this promotion claimed.
 
     Attributes:
-      current: The row that stands, if there is one.
+      current: The row in the store, if there is one.
     """
 
     current: GroupRow | None
@@ -51,15 +51,15 @@
 
 @attrs.frozen
 class StoreLost:
-    """The store gave no usable answer; the write may have taken effect."""
+    """The store gave no usable answer; the write may or may not be stored."""
 
 
 @attrs.frozen
 class Fenced:
-    """A server accepted the fence and then reported.
+    """A server accepted the fence and reported its state afterwards.
 
     Attributes:
-      report: Its report from after the fence.
+      report: The report from after the fence.
     """
 
     report: ServerReport
@@ -67,11 +67,11 @@
 
 @attrs.frozen
 class FenceRefused:
-    """A server answered and refused the fence.
+    """A server refused the fence.
 
     Attributes:
       server: The server's name.
-      detail: The server's message.
+      detail: The error message of the server.
     """
 
     server: str
@@ -80,7 +80,7 @@
 
 @attrs.frozen
 class Unreachable:
-    """A server could not be fenced or probed in time.
+    """A server did not answer a fence or probe request in time.
 
     Attributes:
       server: The server's name.
@@ -102,7 +102,7 @@
 
 @attrs.frozen
 class LeaseGivenUp:
-    """A writer promised to act no more for the earlier terms.
+    """A writer confirmed that it gave up its leases on earlier terms.
 
     Attributes:
       vm: The writer's VM.
@@ -113,7 +113,7 @@
 
 @attrs.frozen
 class Announced:
-    """A server accepted the primary of the new term.
+    """A server accepted the announcement of the new primary.
 
     Attributes:
       server: The server's name.
@@ -124,7 +124,7 @@
 
 @attrs.frozen
 class AnnounceFailed:
-    """A server refused the new primary or did not answer.
+    """A server refused the announcement or did not answer it.
 
     Attributes:
       server: The server's name.
@@ -135,7 +135,7 @@
 
 @attrs.frozen
 class TimerFired:
-    """A timer that the promotion set has run out.
+    """A timer that the promotion scheduled has fired.
 
     Attributes:
       timer: The timer.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/plan.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/plan.py
@@ -1,4 +1,4 @@
-"""What a promotion starts from."""
+"""Inputs of a promotion."""
 
 import enum
 
@@ -10,14 +10,15 @@
 
 
 class PromotionCause(enum.StrEnum):
-    """Why a term is claimed.
+    """Reasons for claiming a term.
 
     Attributes:
       BOOTSTRAP: The group has no primary yet.
-      FAILURE: The primary is held to have failed.
-      TAKEOVER: Another coordinator left its claimed term unopened.
-      SWITCH_OVER: An operator or a drain moves a healthy primary.
-      FORCED: An operator vouches that the unreachable servers are stopped.
+      FAILURE: The primary is considered failed.
+      TAKEOVER: Another coordinator claimed a term and did not open it.
+      SWITCH_OVER: An operator or a drain moves the role of primary away from
+        a healthy server.
+      FORCED: An operator asserts that the unreachable servers are stopped.
     """
 
     BOOTSTRAP = "bootstrap"
@@ -29,23 +30,23 @@
 
 @attrs.frozen
 class PromotionPlan:
-    """The facts that a promotion is decided on.
+    """Inputs that determine the course of a promotion.
 
     Attributes:
       group: The group's name.
-      vm: The VM that coordinates.
-      cause: Why the term is claimed.
+      vm: The VM that coordinates the promotion.
+      cause: The reason for claiming the term.
       expected: The group's row, or None for a group without one.
       servers: The group's backend servers.
       writers: The writers of the new term, by seat.
-      target: The server that a planned switch-over moves to.
-      avoid: Servers that are chosen only if they are the most advanced.
+      target: The server that a switch-over moves to.
+      avoid: Servers that rank last among equally advanced ones.
       highest_term: The highest fence term that a server has reported.
-      leases_expire_at: When the leases of earlier terms have run out at the
-        latest, where that is known from an earlier claim; else None.
-      removed_writers_expire_at: The time at which the leases of removed
-        writers have expired. From then on, the leases of earlier terms are
-        closed once every remaining writer has given up its own.
+      leases_expire_at: The time, in seconds, at which all leases of earlier
+        terms have expired, if it is known from an earlier claim; else None.
+      removed_writers_expire_at: The time, in seconds, at which the leases of
+        removed writers have expired. From then on, the leases of earlier
+        terms are closed once every remaining writer has given up its own.
     """
 
     group: str
@@ -72,7 +73,7 @@
 
     @property
     def old_term(self) -> int:
-        """Return the newest term that was claimed before."""
+        """Return the term of the expected row; 0 without a row."""
         return self.expected.term if self.expected else 0
 
     @property
@@ -83,7 +84,8 @@
     def claimed_row(self) -> GroupRow:
         """Return the row that claims the next term.
 
-        It keeps the earlier writers, whose leases a successor has to close.
+        It keeps the writers of the earlier term: a coordinator that takes
+        the promotion over has to close their leases.
         """
         return GroupRow(
             group=self.group,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/promotion.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/promotion.py
@@ -1,4 +1,4 @@
-"""The step machine of a promotion."""
+"""State machine of a promotion."""
 
 import enum
 import functools
@@ -58,7 +58,7 @@
 
 
 class PromotionStep(enum.Enum):
-    """The steps of a promotion, in their order."""
+    """Steps of a promotion, in the order in which they are taken."""
 
     CLAIMING = "claiming"
     HANDING_OVER = "handing_over"
@@ -72,31 +72,36 @@
 class Promotion:
     """One attempt to open a new term, from the claim to the announcement.
 
-    Call `start` once and `on` for each event; both return the actions to
-    take. The last action is `Finished` or `Abandoned`.
+    Call `start` once and `on` for each event. Both return the actions to
+    execute. The last action is `Finished` or `Abandoned`.
 
-    The claim is a compare-and-set, so one coordinator owns a term. The term
-    opens after a fence quorum holds the claimed term and every lease of an
-    earlier term is closed, by the writers' promises or by time; only then is
-    the most advanced fenced server chosen. A switch-over fences the old
-    primary first and lets its target catch up before the others are fenced.
+    The claim is a compare-and-set, so only one coordinator owns a term. The
+    term is opened after a quorum of servers is fenced with it and every lease
+    of an earlier term is closed, either given up by its writer or expired.
+    Only then is the most advanced fenced server chosen as primary. A
+    switch-over fences the old primary first and lets the target catch up
+    before it fences the other servers.
 
     Attributes:
-      plan: The facts that the promotion started from.
-      step: The step that it is in.
+      plan: The inputs of the promotion.
+      step: The current step.
       claimed: The row that claims the term.
-      opened: The row that opens the term, once the choice is made.
-      fenced: The reports of the fenced servers.
-      failed: Servers that could not be fenced when last tried.
-      given_up: Writers that promised to act no more for earlier terms.
-      leases_closed: Whether every lease of an earlier term has ended.
-      grace_expired: Whether servers that are slow to be fenced are left out.
-      lease_wait_expired: Whether the servers had as long as leases take to end.
-      final_position: The old primary's last entry, in a switch-over.
-      claimed_at: When the claim was known to stand, in seconds.
-      failed_announcements: How often the new primary was told in vain.
-      open_retry_seconds: The pause before the next try to open the term.
-      primary_fence_sent: Whether a switch-over has fenced the old primary.
+      opened: The row that opens the term, once a primary is chosen.
+      fenced: The reports of the fenced servers, by server name.
+      failed: Servers whose last fence request failed.
+      given_up: Writers that gave up their leases on earlier terms.
+      leases_closed: Whether every lease of an earlier term is closed.
+      grace_expired: Whether the grace period for unfenced servers has ended.
+      lease_wait_expired: Whether the wait for the leases of earlier terms
+        to expire has ended. It also bounds the wait for unfenced servers.
+      final_position: The position of the old primary after it was fenced, in
+        a switch-over.
+      claimed_at: When the store confirmed the claim, in seconds.
+      failed_announcements: The number of announcements that the new primary
+        refused or did not answer.
+      open_retry_seconds: The delay before the next attempt to open the term.
+      primary_fence_sent: Whether a switch-over has requested the fence of the
+        old primary.
     """
 
     plan: PromotionPlan
@@ -121,23 +126,26 @@
         return self.claimed.term if self.claimed else 0
 
     def start(self, now: float) -> list[Action]:
-        """Return the first action, the claim.
+        """Return the first action, the claim of the term.
 
         Args:
-          now: The present time, in seconds.
+          now: The current time, in seconds.
         """
         row = self.plan.claimed_row()
         return [ClaimTerm(self.plan.expected, row)]
 
     @functools.singledispatchmethod
     def on(self, event: Event, now: float) -> list[Action]:
-        """Return the actions that an event calls for.
+        """Process an event and return the actions to execute.
 
         Args:
-          event: What happened.
-          now: The present time, in seconds.
+          event: The event.
+          now: The current time, in seconds.
+
+        Raises:
+          TypeError: If the event is not one of a promotion.
         """
-        raise TypeError(f"not an event of a promotion: {event!r}")
+        raise TypeError(f"unsupported promotion event: {event!r}")
 
     @on.register
     def _(self, event: Claimed, now: float) -> list[Action]:
@@ -188,7 +196,11 @@
         return self.fence_old_primary() + self.close_leases(now)
 
     def close_leases(self, now: float) -> list[Action]:
-        """Take the leases for closed once every writer gave up."""
+        """Close the leases once every writer has given up its own.
+
+        The leases of removed writers, which are not asked, have to expire
+        first.
+        """
         if self.leases_closed or not self.all_leases_given_up():
             return []
         if now < self.plan.removed_writers_expire_at:
@@ -305,23 +317,24 @@
         return []
 
     def leases_expire_at(self, claimed_at: float) -> float:
-        """Return when time alone has closed the leases of earlier terms."""
+        """Return when all leases of earlier terms have expired, in seconds."""
         if self.plan.leases_expire_at is not None:
             return self.plan.leases_expire_at
         return claimed_at + LEASE_WAIT_SECONDS
 
     def all_leases_given_up(self) -> bool:
-        """Return whether every earlier writer promised to act no more."""
+        """Return whether every writer of the earlier term gave up its lease."""
         return self.given_up.issuperset(self.plan.old_writers)
 
     def fence_old_primary(self, waited: bool = False) -> list[Action]:
-        """Fence the primary of a switch-over once nothing runs on it.
+        """Fence the old primary of a switch-over if the writers are ready.
 
-        A writer promises after what it had under way has ended, so promises
-        of all writers say that nothing is rolled back by the fence.
+        A writer confirms that it gave up its lease after its work in progress
+        has ended or its own wait limit has passed. Once all writers have
+        confirmed, the fence rolls back only work that outlasted that limit.
 
         Args:
-          waited: Whether the writers had their time.
+          waited: Whether the wait for the writers has timed out.
         """
         moving = self.step is PromotionStep.HANDING_OVER
         if not moving or self.primary_fence_sent:
@@ -332,7 +345,7 @@
         return [FenceServer(self.old_primary(), self.term)]
 
     def fence_remaining_servers(self) -> list[Action]:
-        """Enter the closing step and fence the servers not yet fenced."""
+        """Enter the closing step and fence all servers not fenced yet."""
         self.step = PromotionStep.CLOSING
         return [
             FenceServer(server, self.term)
@@ -341,7 +354,7 @@
         ]
 
     def retry_fences(self) -> list[Action]:
-        """Fence the servers again that could not be fenced."""
+        """Retry fencing the servers whose last fence request failed."""
         if self.step is not PromotionStep.CLOSING:
             return []
         servers = sorted(self.failed)
@@ -349,7 +362,7 @@
         return [FenceServer(server, self.term) for server in servers]
 
     def record_server_failure(self, server: str, now: float) -> list[Action]:
-        """Note a server that could not be fenced or probed."""
+        """Handle a server that could not be fenced or probed."""
         if self.step is PromotionStep.HANDING_OVER:
             if server == self.plan.target and self.final_position is not None:
                 return [
@@ -363,7 +376,12 @@
         return [retry, *self.open_if_ready(now)]
 
     def open_if_ready(self, now: float) -> list[Action]:
-        """Choose and open once nothing can be acknowledged any more."""
+        """Choose a primary and open the term if its conditions are met.
+
+        The leases of earlier terms have to be closed and a quorum of servers
+        fenced, so that no write of an earlier term can be acknowledged after
+        the choice.
+        """
         if self.step is not PromotionStep.CLOSING or not self.leases_closed:
             return []
         if not (self.has_quorum() and self.is_fence_wait_over()):
@@ -398,7 +416,7 @@
         return forced and bool(self.fenced) and self.lease_wait_expired
 
     def is_fence_wait_over(self) -> bool:
-        """Return whether the servers not fenced have had their chance."""
+        """Return whether the wait for further servers to be fenced is over."""
         if self.grace_expired or self.lease_wait_expired:
             return True
         if self.plan.cause is PromotionCause.SWITCH_OVER:
@@ -413,20 +431,20 @@
         return self.claimed.primary if self.claimed else ""
 
     def failure_reason(self) -> AbandonReason:
-        """Return why the term could not be opened."""
+        """Return the reason for which the term could not be opened in time."""
         if self.has_quorum():
             return AbandonReason.NO_CANDIDATE
         return AbandonReason.TOO_FEW_SERVERS
 
     def announce(self, row: GroupRow) -> list[Action]:
-        """Tell the new primary first, then the other fenced servers."""
+        """Announce the open term, first to its primary, then to the others."""
         self.step = PromotionStep.ANNOUNCING
         self.opened = row
         others = sorted(self.fenced.keys() - {row.primary})
         return [self.announcement(name) for name in (row.primary, *others)]
 
     def announcement(self, server: str) -> AnnouncePrimary:
-        """Return the action that tells a server of the open term."""
+        """Return the action that announces the open term to a server."""
         assert self.opened is not None
         start = self.opened.branch.starts[-1]
         return AnnouncePrimary(
@@ -434,7 +452,7 @@
         )
 
     def finish(self, announced: bool) -> list[Action]:
-        """End with an open term."""
+        """End the promotion with an open term."""
         assert self.opened is not None
         self.step = PromotionStep.OVER
         return [Finished(self.opened, announced)]
@@ -442,6 +460,6 @@
     def abandon(
         self, reason: AbandonReason, current: GroupRow | None = None
     ) -> list[Action]:
-        """End without an open term."""
+        """End the promotion without an open term."""
         self.step = PromotionStep.OVER
         return [Abandoned(reason, current)]
