--- a/packages/jackdawcrank-policy/tests/acknowledgement/test_acknowledge.py
+++ b/packages/jackdawcrank-policy/tests/acknowledgement/test_acknowledge.py
@@ -1,4 +1,4 @@
-"""Acknowledging writes and reads of the primary."""
+"""Tests for acknowledging writes and reads of the primary."""
 
 import pytest
 
--- a/packages/jackdawcrank-policy/tests/acknowledgement/test_quorum.py
+++ b/packages/jackdawcrank-policy/tests/acknowledgement/test_quorum.py
@@ -1,4 +1,4 @@
-"""Fenced and confirming sets."""
+"""Tests for the sizes of fenced and confirming server sets."""
 
 import itertools
 
--- a/packages/jackdawcrank-policy/tests/coordination/test_coordination.py
+++ b/packages/jackdawcrank-policy/tests/coordination/test_coordination.py
@@ -1,4 +1,4 @@
-"""Who acts for a group and what it does to the row and the servers."""
+"""Tests for the acting coordinator and for row and server reconciliation."""
 
 import attrs
 import pytest
--- a/packages/jackdawcrank-policy/tests/lease/test_lease_table.py
+++ b/packages/jackdawcrank-policy/tests/lease/test_lease_table.py
@@ -1,4 +1,4 @@
-"""Leases of one VM."""
+"""Tests for the lease table of one VM."""
 
 import attrs
 import pytest
--- a/packages/jackdawcrank-policy/tests/promotion/conftest.py
+++ b/packages/jackdawcrank-policy/tests/promotion/conftest.py
@@ -1,4 +1,4 @@
-"""A group in memory, coordinators that can fail, and a writer cut off."""
+"""In-memory group with failing coordinators and a disconnected writer."""
 
 import collections
 import enum
@@ -64,7 +64,7 @@
 
 
 class Fault(enum.Enum):
-    """What happens to one action of a coordinator."""
+    """Faults that can affect one action of a coordinator."""
 
     CRASH_BEFORE = "crash_before"
     CRASH_AFTER = "crash_after"
@@ -76,10 +76,10 @@
 
 @attrs.define(eq=False)
 class ModelGroup:
-    """Three servers, the store and a writer on the old primary's side.
+    """Three servers, the store, and a writer in the old primary's partition.
 
-    The old primary s1 and the writer are cut off from the coordinators and
-    the store; s3 is reached from both sides.
+    The old primary s1 and the writer are disconnected from the coordinators
+    and the store. The replica s3 is reachable from both partitions.
     """
 
     confirm_writes: bool = False
@@ -117,7 +117,7 @@
         self.servers["s2"].pull(self.servers["s1"], limit=2)
 
     def advance_time(self, until: float | None = None) -> None:
-        """Let time pass and the cut-off writer work."""
+        """Advance the clock, replicate, and let the writer write once."""
         self.now = max(self.now + STEP_SECONDS, until or 0.0)
         for name in ("s2", "s3"):
             server = self.servers[name]
@@ -128,7 +128,7 @@
         self.write()
 
     def write(self) -> None:
-        """Write once on the old primary and acknowledge if that is right."""
+        """Write once on the old primary and record an acknowledged write."""
         self.writes += 1
         write_id = f"w{self.writes}"
         position = self.servers["s1"].commit(write_id)
@@ -162,7 +162,7 @@
             )
 
     def put(self, expected: GroupRow | None, new: GroupRow) -> bool:
-        """Compare-and-set the row; a repeat of the same write holds."""
+        """Compare-and-set the row; a repeated write of it succeeds again."""
         if self.row == new:
             return True
         if self.row != expected:
@@ -197,7 +197,7 @@
 
 @attrs.define(eq=False)
 class Coordinator:
-    """Drives a promotion one action at a time, with a fault at one of them."""
+    """Drives a promotion action by action and injects a fault into one."""
 
     vm: str
     group: ModelGroup
@@ -227,19 +227,19 @@
         self.actions.extend(self.promotion.start(self.group.now))
 
     def run(self) -> None:
-        """Go on until the end or the fault."""
+        """Execute steps until the promotion ends or the fault stops it."""
         while self.end is None and not self.stopped:
             self.step()
 
     def resume(self) -> None:
-        """Go on after a pause with what had arrived meanwhile."""
+        """Continue after a pause with the events that arrived meanwhile."""
         self.stopped = False
         for event in self.pending_events:
             self.deliver_event(event)
         self.run()
 
     def step(self) -> None:
-        """Carry out the next action, or let the next timer fire."""
+        """Execute the next action, or fire the next timer if there is none."""
         if self.actions:
             self.execute_action(self.actions.popleft())
             return
@@ -278,7 +278,7 @@
             self.deliver_event(event)
 
     def is_first_of_its_kind(self, action: Action) -> bool:
-        """Return whether an action is no repetition of an earlier one."""
+        """Return whether no earlier action had this type and subject."""
         subject = getattr(action, "server", getattr(action, "vm", ""))
         kind = (type(action), subject)
         first = kind not in self.seen_actions
--- a/packages/jackdawcrank-policy/tests/promotion/test_choice.py
+++ b/packages/jackdawcrank-policy/tests/promotion/test_choice.py
@@ -1,4 +1,4 @@
-"""The choice of a primary and the branch that it opens."""
+"""Tests for the choice of a primary and the branch of its term."""
 
 from jackdawcrank_policy.promotion import choose_primary, extend_branch
 from jackdawcrank_policy.values import (
--- a/packages/jackdawcrank-policy/tests/promotion/test_promotion.py
+++ b/packages/jackdawcrank-policy/tests/promotion/test_promotion.py
@@ -1,4 +1,4 @@
-"""Faults at every step of a promotion."""
+"""Tests for promotions with a fault at each of their actions."""
 
 from collections.abc import Callable
 from typing import Any
@@ -21,7 +21,7 @@
 def finish_promotion(
     coordinate: Callable[..., Any], group: Any, first: Any
 ) -> None:
-    """Let another coordinator finish what a failed one began."""
+    """Run further coordinators until a new term is open."""
     for number in range(3):
         if group.row.term > 1 and group.row.phase is GroupPhase.ACTIVE:
             break
@@ -55,7 +55,7 @@
 
 
 def announce_to_reachable(group: Any) -> None:
-    """Name the open term's primary to the servers that can be reached."""
+    """Fence the reachable servers and announce the open term's primary."""
     offset = group.row.branch.starts[-1].offset
     for name in ("s2", "s3"):
         group.servers[name].fence(group.row.term)
