--- a/bench/writes_model/model_proxy.py
+++ b/bench/writes_model/model_proxy.py
@@ -168,7 +168,7 @@
                 return WriteResult(CallerOutcome.DONE, term)
             if not isinstance(verdict, AwaitTerm):
                 return UNKNOWN
-            row = await self.row_above(verdict.above, deadline)
+            row = await self.row_above(verdict.closed_term, deadline)
             if row is None:
                 return UNKNOWN
             if not isinstance(resolve_write(position, row.branch), Done):
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
@@ -33,11 +33,11 @@
     """The term is closed; the branch of a later term determines the outcome.
 
     Attributes:
-      above: The closed term. The caller waits for an active row of a higher
-        term and then calls `resolve_write`.
+      closed_term: The closed term. The caller waits for an active row of a
+        higher term and then calls `resolve_write`.
     """
 
-    above: int
+    closed_term: int
 
 
 def acknowledge(
@@ -69,7 +69,7 @@
       `Unknown` if the remaining replicas cannot form a quorum.
     """
     if lease is LeaseState.CLOSED:
-        return AwaitTerm(above=term)
+        return AwaitTerm(closed_term=term)
     if lease is LeaseState.HELD and not confirm_always:
         return Done(position)
     decision = _check_confirmations(
@@ -106,7 +106,7 @@
       `Unknown` if the term cannot be confirmed.
     """
     if lease is LeaseState.CLOSED:
-        return AwaitTerm(above=term)
+        return AwaitTerm(closed_term=term)
     if lease is LeaseState.HELD:
         return Done()
     if primary in replies and replies[primary] != term:
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/choice.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/choice.py
@@ -31,16 +31,18 @@
       avoid: Servers that rank last among equally advanced ones.
       target: The server that ranks first among equally advanced ones.
     """
-    candidates = [one for one in reports if _is_on(branch, one.position)]
+    candidates = [
+        report for report in reports if _is_on(branch, report.position)
+    ]
     if not candidates:
         return None
     return min(
         candidates,
-        key=lambda one: (
-            -one.position.offset,
-            one.server != target,
-            one.server in avoid,
-            one.server,
+        key=lambda report: (
+            -report.position.offset,
+            report.server != target,
+            report.server in avoid,
+            report.server,
         ),
     )
 
--- a/packages/jackdawcrank-policy/tests/acknowledgement/test_acknowledge.py
+++ b/packages/jackdawcrank-policy/tests/acknowledgement/test_acknowledge.py
@@ -20,13 +20,13 @@
     Unknown,
 )
 
-AT = Position(4, 20)
+POSITION = Position(4, 20)
 REPLICAS = ("s2", "s3")
 Replies = dict[str, int | None]
 
 
 def write(lease: LeaseState, replies: Replies, always: bool = False) -> object:
-    return acknowledge(AT, 4, lease, Quorum(3), always, REPLICAS, replies)
+    return acknowledge(POSITION, 4, lease, Quorum(3), always, REPLICAS, replies)
 
 
 def read(lease: LeaseState, replies: Replies) -> object:
@@ -34,19 +34,19 @@
 
 
 def test_held_lease_needs_no_confirmation() -> None:
-    assert write(LeaseState.HELD, {}) == Done(AT)
+    assert write(LeaseState.HELD, {}) == Done(POSITION)
 
 
 def test_required_confirmation_applies_to_a_held_lease() -> None:
     assert write(LeaseState.HELD, {}, always=True) == NeedConfirmation(
         REPLICAS, 1
     )
-    assert write(LeaseState.HELD, {"s2": 4}, always=True) == Done(AT)
+    assert write(LeaseState.HELD, {"s2": 4}, always=True) == Done(POSITION)
 
 
 def test_replica_of_the_same_term_replaces_a_lapsed_lease() -> None:
     assert write(LeaseState.LAPSED, {}) == NeedConfirmation(REPLICAS, 1)
-    assert write(LeaseState.LAPSED, {"s3": 4}) == Done(AT)
+    assert write(LeaseState.LAPSED, {"s3": 4}) == Done(POSITION)
 
 
 @pytest.mark.parametrize("reply", [None, 3, 5])
@@ -78,5 +78,5 @@
 def test_next_branch_resolves_an_unacknowledged_write() -> None:
     kept = Branch((TermStart(4, 0), TermStart(5, 20)))
     lost = Branch((TermStart(4, 0), TermStart(5, 19)))
-    assert resolve_write(AT, kept) == Done(AT)
-    assert isinstance(resolve_write(AT, lost), NotRun)
+    assert resolve_write(POSITION, kept) == Done(POSITION)
+    assert isinstance(resolve_write(POSITION, lost), NotRun)
--- a/packages/jackdawcrank-policy/tests/acknowledgement/test_quorum.py
+++ b/packages/jackdawcrank-policy/tests/acknowledgement/test_quorum.py
@@ -12,14 +12,14 @@
 def test_fenced_and_confirming_sets_always_overlap(
     server_count: int, change: int
 ) -> None:
-    known_to_writer = server_count + change
+    known_server_count = server_count + change
     quorum = Quorum(server_count)
-    confirm_count = Quorum(known_to_writer).confirm_count
+    confirm_count = Quorum(known_server_count).confirm_count
     for fenced in itertools.combinations(
         range(server_count), quorum.fence_count
     ):
         for confirming in itertools.combinations(
-            range(known_to_writer), confirm_count
+            range(known_server_count), confirm_count
         ):
             assert set(fenced) & set(confirming)
 
--- a/packages/jackdawcrank-policy/tests/promotion/test_promotion.py
+++ b/packages/jackdawcrank-policy/tests/promotion/test_promotion.py
@@ -139,9 +139,9 @@
 ) -> None:
     group = make_group()
     group.cut_off = frozenset({"s1", "s3"})
-    alone = coordinate("vm-new", group)
-    alone.run()
-    assert isinstance(alone.end, Abandoned)
+    isolated = coordinate("vm-new", group)
+    isolated.run()
+    assert isinstance(isolated.end, Abandoned)
     group.cut_off = frozenset({"s1"})
     coordinate("vm-next", group, PromotionCause.TAKEOVER).run()
     assert group.row.phase is GroupPhase.ACTIVE
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
@@ -107,9 +107,11 @@
     async def _settle(
         self, wait: AwaitTerm, position: Position, deadline: float
     ) -> int | Failed | Unknown:
-        row = await self.state.active_row_above(wait.above, deadline)
+        row = await self.state.active_row_above(wait.closed_term, deadline)
         if row is None:
-            return Unknown(f"term {wait.above} closed; no later one is open")
+            return Unknown(
+                f"term {wait.closed_term} closed; no later one is open"
+            )
         if isinstance(resolve_write(position, row.branch), Done):
             return row.term
         detail = f"the write at {position} was lost in a change of primary"
