--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/__init__.py
@@ -1,21 +1,21 @@
 """What a session has set up, and how a shared connection takes it over."""
 
-from jackdawcrank_policy.sessions.connection_memory import ConnectionMemory
+from jackdawcrank_policy.sessions.connection_context import ConnectionContext
 from jackdawcrank_policy.sessions.prepared_statement import PreparedStatement
-from jackdawcrank_policy.sessions.session_memory import SessionMemory
+from jackdawcrank_policy.sessions.session_context import SessionContext
 from jackdawcrank_policy.sessions.setup_step import (
-    ClearSession,
-    DefineStatement,
+    PrepareStatement,
+    ResetSession,
     SetupStep,
     SetValue,
 )
 
 __all__ = [
-    "ClearSession",
-    "ConnectionMemory",
-    "DefineStatement",
+    "ConnectionContext",
+    "PrepareStatement",
     "PreparedStatement",
-    "SessionMemory",
+    "ResetSession",
+    "SessionContext",
     "SetValue",
     "SetupStep",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/connection_memory.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/connection_context.py
@@ -3,21 +3,21 @@
 import attrs
 
 from jackdawcrank_policy.sessions.prepared_statement import PreparedStatement
-from jackdawcrank_policy.sessions.session_memory import SessionMemory
+from jackdawcrank_policy.sessions.session_context import SessionContext
 from jackdawcrank_policy.sessions.setup_step import (
-    ClearSession,
-    DefineStatement,
+    PrepareStatement,
+    ResetSession,
     SetupStep,
     SetValue,
 )
 
 # A connection drops its names beyond this many, so that a caller with endless
 # distinct shapes does not fill the server's memory.
-MAX_DEFINED_STATEMENTS = 200
+MAX_PREPARED_PER_CONNECTION = 200
 
 
 @attrs.define
-class ConnectionMemory:
+class ConnectionContext:
     """Session values and prepared names of one server connection.
 
     Names of different sessions collide, so each distinct statement has a name
@@ -31,8 +31,8 @@
     values: dict[str, str] = attrs.Factory(dict)
     names: dict[PreparedStatement, str] = attrs.Factory(dict)
 
-    def plan(
-        self, session: SessionMemory, statement: PreparedStatement | None
+    def plan_setup(
+        self, session: SessionContext, statement: PreparedStatement | None
     ) -> list[SetupStep]:
         """Return what must run before a statement; remember it as done.
 
@@ -42,8 +42,8 @@
         """
         steps: list[SetupStep] = []
         stale = self.values.keys() - session.values.keys()
-        if stale or len(self.names) >= MAX_DEFINED_STATEMENTS:
-            steps.append(ClearSession())
+        if stale or len(self.names) >= MAX_PREPARED_PER_CONNECTION:
+            steps.append(ResetSession())
             self.values.clear()
             self.names.clear()
         for name, value in session.values.items():
@@ -52,10 +52,10 @@
                 self.values[name] = value
         if statement is not None and statement not in self.names:
             self.names[statement] = f"j{len(self.names)}"
-            steps.append(DefineStatement(self.names[statement], statement))
+            steps.append(PrepareStatement(self.names[statement], statement))
         return steps
 
-    def mismatch(self, session: SessionMemory) -> int:
+    def count_differences(self, session: SessionContext) -> int:
         """Return how many values differ from a session's.
 
         Args:
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/session_memory.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/session_context.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define
-class SessionMemory:
+class SessionContext:
     """Session values and prepared names, as acknowledged to the caller.
 
     Attributes:
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/setup_step.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/setup_step.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class ClearSession:
+class ResetSession:
     """Drops all session values and prepared names of the connection."""
 
 
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class DefineStatement:
+class PrepareStatement:
     """Prepares a statement.
 
     Attributes:
@@ -36,4 +36,4 @@
     statement: PreparedStatement
 
 
-SetupStep = ClearSession | SetValue | DefineStatement
+SetupStep = ResetSession | SetValue | PrepareStatement
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/caller_session.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/caller_session.py
@@ -23,7 +23,7 @@
     Unreadable,
 )
 from jackdawcrank_policy.catalog import DatabaseSpec
-from jackdawcrank_policy.sessions import PreparedStatement, SessionMemory
+from jackdawcrank_policy.sessions import PreparedStatement, SessionContext
 from jackdawcrank_policy.values.position import Position
 
 # A caller's own mistakes cannot grow a process beyond its memory limit.
@@ -53,7 +53,7 @@
     database: str
     directory: Resolver
     runner: Runner
-    memory: SessionMemory = attrs.Factory(SessionMemory)
+    memory: SessionContext = attrs.Factory(SessionContext)
     state: SessionState = SessionState.IDLE
     last_position: Position | None = None
     transaction: Transaction | None = None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
@@ -4,7 +4,7 @@
 
 from jackdawcrank.seams.commands import Command, Forward, ForwardPrepared
 from jackdawcrank.seams.server_link import ServerLink
-from jackdawcrank_policy.sessions import PreparedStatement, SessionMemory
+from jackdawcrank_policy.sessions import PreparedStatement, SessionContext
 from jackdawcrank_policy.values.position import Position
 
 
@@ -26,7 +26,7 @@
 
 
 def setup_commands(
-    link: ServerLink, memory: SessionMemory, execution: Execution | None
+    link: ServerLink, memory: SessionContext, execution: Execution | None
 ) -> list[Command]:
     """Return what makes a link fit a session, and note it as done.
 
@@ -36,7 +36,7 @@
       execution: What is to run next, if anything.
     """
     prepared = execution.prepared if execution else None
-    return [*link.memory.plan(memory, prepared)]
+    return [*link.memory.plan_setup(memory, prepared)]
 
 
 def forward_command(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
@@ -26,7 +26,7 @@
 from jackdawcrank.relay.transaction_view import Transaction
 from jackdawcrank.seams.replies import Problem, Reply
 from jackdawcrank_policy.catalog import DatabaseSpec
-from jackdawcrank_policy.sessions import SessionMemory
+from jackdawcrank_policy.sessions import SessionContext
 from jackdawcrank_policy.values.position import Position
 
 # A home that was just chosen reads the servers first: one call.
@@ -48,7 +48,7 @@
 
     database: str
     spec: DatabaseSpec | None
-    memory: SessionMemory
+    memory: SessionContext
     last_position: Position | None
     read_only: bool
     group: GroupRelay | None = None
@@ -75,7 +75,7 @@
     return ForwardedSession(
         database,
         decode_spec(database, spec),
-        SessionMemory(values),
+        SessionContext(values),
         decode_position(position),
         read_only,
     )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
@@ -21,7 +21,7 @@
 )
 from jackdawcrank_policy.catalog import ListedServer
 from jackdawcrank_policy.placement import ServerCondition
-from jackdawcrank_policy.sessions import SessionMemory
+from jackdawcrank_policy.sessions import SessionContext
 from jackdawcrank_policy.waiting import (
     Patience,
     Turn,
@@ -112,7 +112,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def acquire(
-        self, memory: SessionMemory, limits: WaitLimits
+        self, memory: SessionContext, limits: WaitLimits
     ) -> Granted | Hopeless:
         """Return a connection, waiting for one if all are in use.
 
@@ -133,7 +133,7 @@
         return Hopeless()
 
     async def connect(
-        self, memory: SessionMemory, limits: WaitLimits
+        self, memory: SessionContext, limits: WaitLimits
     ) -> Granted | Hopeless:
         """Return a connection, opening one or waiting for one."""
         now = self.loop.time()
@@ -223,13 +223,13 @@
             self.count += 1
         return opened
 
-    def take_idle(self, memory: SessionMemory) -> ServerLink | None:
+    def take_idle(self, memory: SessionContext) -> ServerLink | None:
         """Return the idle connection that fits a session best, or None."""
         while self.idle:
             best = min(
                 range(len(self.idle)),
                 key=lambda index: (
-                    self.idle[index].link.memory.mismatch(memory),
+                    self.idle[index].link.memory.count_differences(memory),
                     -index,
                 ),
             )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/session_view.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/session_view.py
@@ -3,7 +3,7 @@
 import typing
 
 from jackdawcrank_policy.catalog import DatabaseSpec
-from jackdawcrank_policy.sessions import SessionMemory
+from jackdawcrank_policy.sessions import SessionContext
 from jackdawcrank_policy.values.position import Position
 
 if typing.TYPE_CHECKING:
@@ -23,7 +23,7 @@
     """
 
     database: str
-    memory: SessionMemory
+    memory: SessionContext
     last_position: Position | None
     read_only: bool
     spec: DatabaseSpec | None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/server_link.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/server_link.py
@@ -10,7 +10,7 @@
 from jackdawcrank.seams.commands import Command
 from jackdawcrank.seams.replies import Reply, ServerStatus, SessionState
 from jackdawcrank_policy.catalog import ListedServer
-from jackdawcrank_policy.sessions import ConnectionMemory
+from jackdawcrank_policy.sessions import ConnectionContext
 from jackdawcrank_policy.values.position import Position
 
 
@@ -55,7 +55,7 @@
       on_closed: Called once when the connection has ended.
     """
 
-    memory: ConnectionMemory
+    memory: ConnectionContext
     closed: bool
     state: SessionState
     first_position: Position | None
--- a/packages/jackdawcrank-proxy/tests/relay/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/relay/conftest.py
@@ -12,7 +12,7 @@
 from jackdawcrank.seams.replies import Reply, ServerStatus, SessionState
 from jackdawcrank.seams.server_link import NotOpened
 from jackdawcrank_policy.catalog import ListedServer
-from jackdawcrank_policy.sessions import ConnectionMemory
+from jackdawcrank_policy.sessions import ConnectionContext
 from jackdawcrank_policy.values.position import Position
 
 
@@ -24,7 +24,7 @@
       sent: The commands so far, each with its reply to come.
     """
 
-    memory: ConnectionMemory = attrs.Factory(ConnectionMemory)
+    memory: ConnectionContext = attrs.Factory(ConnectionContext)
     closed: bool = False
     state: SessionState = SessionState.IDLE
     first_position: Position | None = None
--- a/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
@@ -12,7 +12,7 @@
 from jackdawcrank.relay.session_view import SessionView
 from jackdawcrank.seams.commands import UndoTransaction
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
-from jackdawcrank_policy.sessions import SessionMemory
+from jackdawcrank_policy.sessions import SessionContext
 
 from .conftest import FakeLink, FakeOpener, settle
 
@@ -30,7 +30,7 @@
 @attrs.define
 class FakeSession:
     database: str = "plots"
-    memory: SessionMemory = attrs.Factory(SessionMemory)
+    memory: SessionContext = attrs.Factory(SessionContext)
 
 
 SESSION = typing.cast(SessionView, FakeSession())
--- a/packages/jackdawcrank-proxy/tests/relay/test_server_lane.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_server_lane.py
@@ -4,7 +4,7 @@
 
 from jackdawcrank.relay.server_lane import Hopeless, ServerLane
 from jackdawcrank.seams.server_link import NotOpened, OpenFailure
-from jackdawcrank_policy.sessions import SessionMemory
+from jackdawcrank_policy.sessions import SessionContext
 from jackdawcrank_policy.waiting import WaitLimits
 
 from .conftest import FakeOpener, settle
@@ -16,7 +16,7 @@
 
 
 def ask(lane: ServerLane) -> asyncio.Task[object]:
-    return asyncio.create_task(lane.acquire(SessionMemory(), limits()))
+    return asyncio.create_task(lane.acquire(SessionContext(), limits()))
 
 
 async def test_herd_opens_one_connection_at_a_time(
@@ -97,7 +97,7 @@
     now = asyncio.get_running_loop().time()
     lane.limit = 0 if early else 8
     short = WaitLimits(1, now + 0.01, now + 0.01)
-    assert await lane.acquire(SessionMemory(), short) == Hopeless()
+    assert await lane.acquire(SessionContext(), short) == Hopeless()
     assert lane.line.length == 0
 
 
