--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/expiry.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/expiry.py
@@ -1,7 +1,7 @@
 """The rule by which request records expire."""
 
 REQUEST_RECORD_SECONDS = 7 * 24 * 3600
-EXPIRY_SLICE_SECONDS = 600
+EXPIRY_BATCH_SECONDS = 600
 DELETE_EXPIRED = "DELETE FROM jackdawcrank_requests WHERE created_at < %s"
 SELECT_OLDEST = "SELECT MIN(created_at) FROM jackdawcrank_requests"
 
@@ -10,7 +10,7 @@
     """Return the creation time below which records may be deleted now.
 
     Records are kept for `REQUEST_RECORD_SECONDS` and then deleted in slices
-    of `EXPIRY_SLICE_SECONDS`, so that no single deletion is large.
+    of `EXPIRY_BATCH_SECONDS`, so that no single deletion is large.
 
     Args:
       oldest: The creation time of the oldest record, in unix seconds.
@@ -21,5 +21,5 @@
     """
     if oldest is None:
         return None
-    bound = min(now - REQUEST_RECORD_SECONDS, oldest + EXPIRY_SLICE_SECONDS)
+    bound = min(now - REQUEST_RECORD_SECONDS, oldest + EXPIRY_BATCH_SECONDS)
     return bound if bound > oldest else None
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/request_execution.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/request_execution.py
@@ -39,7 +39,7 @@
 )
 # The code of a server that is shutting down, which ends a connection too.
 CONNECTION_LOST_CODE = 1053
-CONNECTION_LOST_STATE = "08S01"
+CONNECTION_LOST_SQLSTATE = "08S01"
 BUSY_RETRY_MS = 200
 NO_PRIMARY_RETRY_MS = 500
 
@@ -88,7 +88,7 @@
     position: Position | None = None
 
 
-Finish = Executed | NotRun | Failed | Unknown
+ExecutionOutcome = Executed | NotRun | Failed | Unknown
 
 
 @attrs.define
@@ -120,35 +120,37 @@
     implicit_commit: bool = False
     step: RequestStep = RequestStep.BEGIN
     result: RequestResult = RequestResult(0, 0)
-    after_rollback: Statement | Finish | None = None
+    after_rollback: Statement | ExecutionOutcome | None = None
     created_table: bool = False
 
     def start(self) -> Statement:
         """Return the first statement."""
-        return self.send(Statement(RequestStep.BEGIN, "BEGIN"))
+        return self.mark_sent(Statement(RequestStep.BEGIN, "BEGIN"))
 
-    def on(self, reply: StatementReply) -> Statement | Finish:
+    def on_reply(self, reply: StatementReply) -> Statement | ExecutionOutcome:
         """Return what follows the reply to the awaited statement.
 
         Args:
           reply: What became of it.
         """
-        following = _follow(reply, self)
-        if isinstance(following, Statement):
-            return self.send(following)
-        return following
+        next_step = _handle_reply(reply, self)
+        if isinstance(next_step, Statement):
+            return self.mark_sent(next_step)
+        return next_step
 
-    def send(self, statement: Statement) -> Statement:
+    def mark_sent(self, statement: Statement) -> Statement:
         """Await the reply to a statement."""
         self.step = statement.step
         return statement
 
-    def roll_back(self, then: Statement | Finish) -> Statement:
+    def roll_back(
+        self, continuation: Statement | ExecutionOutcome
+    ) -> Statement:
         """Return the roll-back that comes before what follows."""
-        self.after_rollback = then
+        self.after_rollback = continuation
         return Statement(RequestStep.ROLLBACK, "ROLLBACK")
 
-    def succeed(self, reply: StatementDone) -> Statement | Finish:
+    def on_success(self, reply: StatementDone) -> Statement | ExecutionOutcome:
         """Return what follows a statement that ran."""
         match self.step:
             case RequestStep.BEGIN:
@@ -182,12 +184,12 @@
                 assert self.after_rollback is not None
                 return self.after_rollback
             case RequestStep.LOOK_UP:
-                return self.judge_record(reply)
+                return self.compare_record(reply)
 
-    def judge_record(self, reply: StatementDone) -> Finish:
+    def compare_record(self, reply: StatementDone) -> ExecutionOutcome:
         """Compare this request with the one recorded under its id."""
         if not reply.rows:
-            return _busy("the request's record has just been removed")
+            return _overloaded("the request's record has just been removed")
         record = RequestRecord.from_row(reply.rows[0])
         if record.statement_digest == self.digest:
             if not record.is_finished:
@@ -198,11 +200,11 @@
             "the request id was used for another statement",
         )
 
-    def fail(self, error: ServerError) -> Statement | Finish:
+    def on_error(self, error: ServerError) -> Statement | ExecutionOutcome:
         """Return what follows an error that the server reported."""
         match self.step:
             case RequestStep.INSERT:
-                return self.fail_insert(error)
+                return self.on_insert_error(error)
             case RequestStep.RUN | RequestStep.RECORD:
                 if self.implicit_commit:
                     return Unknown("the statement may have committed itself")
@@ -214,12 +216,14 @@
             case RequestStep.ROLLBACK:
                 assert self.after_rollback is not None
                 if isinstance(self.after_rollback, Statement):
-                    return _not_started(error.message)
+                    return _no_primary(error.message)
                 return self.after_rollback
             case _:
-                return _not_started(error.message)
+                return _no_primary(error.message)
 
-    def fail_insert(self, error: ServerError) -> Statement | Finish:
+    def on_insert_error(
+        self, error: ServerError
+    ) -> Statement | ExecutionOutcome:
         """Return what follows a record that could not be inserted."""
         if error.code == ER_DUPLICATE_KEY:
             return self.roll_back(
@@ -231,12 +235,12 @@
             self.created_table = True
             return self.roll_back(Statement(RequestStep.CREATE, CREATE_TABLE))
         if error.code in (ER_LOCK_WAIT_TIMEOUT, ER_DEADLOCK):
-            return self.roll_back(_busy("the same request is running"))
+            return self.roll_back(_overloaded("the same request is running"))
         if error.code == ER_READ_ONLY:
-            return self.roll_back(_not_started(error.message))
+            return self.roll_back(_no_primary(error.message))
         return self.roll_back(_failed(error))
 
-    def lose(self, reply: ConnectionLost) -> Finish:
+    def on_connection_lost(self, reply: ConnectionLost) -> ExecutionOutcome:
         """Return the end of an execution that lost its connection.
 
         The server rolls back a transaction whose connection has ended before
@@ -244,51 +248,57 @@
         """
         if self.step is RequestStep.COMMIT:
             return Unknown("the connection was lost during the commit")
-        ran = self.step in (RequestStep.RUN, RequestStep.RECORD)
-        if ran and self.implicit_commit:
+        statement_sent = self.step in (RequestStep.RUN, RequestStep.RECORD)
+        if statement_sent and self.implicit_commit:
             return Unknown("the statement may have committed itself")
-        if ran:
+        if statement_sent:
             return Failed(
                 CONNECTION_LOST_CODE,
-                CONNECTION_LOST_STATE,
+                CONNECTION_LOST_SQLSTATE,
                 f"rolled back, the connection was lost: {reply.detail}",
             )
         if self.step is RequestStep.ROLLBACK and isinstance(
             self.after_rollback, Failed | NotRun
         ):
             return self.after_rollback
-        return _not_started(reply.detail)
+        return _no_primary(reply.detail)
 
 
 @functools.singledispatch
-def _follow(
+def _handle_reply(
     reply: StatementReply, execution: RequestExecution
-) -> Statement | Finish:
+) -> Statement | ExecutionOutcome:
     raise TypeError(f"not a reply: {reply!r}")
 
 
-@_follow.register
-def _(reply: StatementDone, execution: RequestExecution) -> Statement | Finish:
-    return execution.succeed(reply)
+@_handle_reply.register
+def _(
+    reply: StatementDone, execution: RequestExecution
+) -> Statement | ExecutionOutcome:
+    return execution.on_success(reply)
 
 
-@_follow.register
-def _(reply: ServerError, execution: RequestExecution) -> Statement | Finish:
-    return execution.fail(reply)
+@_handle_reply.register
+def _(
+    reply: ServerError, execution: RequestExecution
+) -> Statement | ExecutionOutcome:
+    return execution.on_error(reply)
 
 
-@_follow.register
-def _(reply: ConnectionLost, execution: RequestExecution) -> Statement | Finish:
-    return execution.lose(reply)
+@_handle_reply.register
+def _(
+    reply: ConnectionLost, execution: RequestExecution
+) -> Statement | ExecutionOutcome:
+    return execution.on_connection_lost(reply)
 
 
 def _failed(error: ServerError) -> Failed:
     return Failed(error.code, error.sqlstate, error.message)
 
 
-def _busy(detail: str) -> NotRun:
+def _overloaded(detail: str) -> NotRun:
     return NotRun(NotRunReason.OVERLOADED, detail, BUSY_RETRY_MS)
 
 
-def _not_started(detail: str) -> NotRun:
+def _no_primary(detail: str) -> NotRun:
     return NotRun(NotRunReason.NO_PRIMARY, detail, NO_PRIMARY_RETRY_MS)
--- a/packages/jackdawcrank-policy/tests/requests/conftest.py
+++ b/packages/jackdawcrank-policy/tests/requests/conftest.py
@@ -15,12 +15,15 @@
     StatementReply,
     digest_statement,
 )
-from jackdawcrank_policy.requests.request_execution import Finish, RequestStep
+from jackdawcrank_policy.requests.request_execution import (
+    ExecutionOutcome,
+    RequestStep,
+)
 from jackdawcrank_policy.values import Position
 
 
 @attrs.define
-class Database:
+class FakeDatabase:
     """Runs the statements of executions.
 
     Attributes:
@@ -62,38 +65,40 @@
         return StatementDone()
 
 
-Interfere = Callable[[Statement, Callable[[], StatementReply]], StatementReply]
+FaultInjector = Callable[
+    [Statement, Callable[[], StatementReply]], StatementReply
+]
 
 
-def straight(
+def run_unchanged(
     statement: Statement, run: Callable[[], StatementReply]
 ) -> StatementReply:
     return run()
 
 
 def execute(
-    database: Database,
+    database: FakeDatabase,
     sql: str = "UPDATE plots SET certified = 1",
-    interfere: Interfere = straight,
-) -> Finish:
+    inject_fault: FaultInjector = run_unchanged,
+) -> ExecutionOutcome:
     """Run one execution to its end; a lost connection rolls back."""
     execution = RequestExecution("r-1", digest_statement(sql), sql, 1000)
     open_records: dict[str, list[object]] = {}
-    following: Statement | Finish = execution.start()
-    while isinstance(following, Statement):
-        run = functools.partial(database.run, following, open_records)
-        reply = interfere(following, run)
+    next_step: Statement | ExecutionOutcome = execution.start()
+    while isinstance(next_step, Statement):
+        run = functools.partial(database.run, next_step, open_records)
+        reply = inject_fault(next_step, run)
         if isinstance(reply, ConnectionLost):
             open_records = {}
-        following = execution.on(reply)
-    return following
+        next_step = execution.on_reply(reply)
+    return next_step
 
 
 @pytest.fixture
-def database() -> Database:
-    return Database()
+def database() -> FakeDatabase:
+    return FakeDatabase()
 
 
 @pytest.fixture
-def run_request() -> Callable[..., Finish]:
+def run_request() -> Callable[..., ExecutionOutcome]:
     return execute
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
@@ -145,7 +145,7 @@
         while isinstance(step, Statement):
             remaining = self.runner.remaining(deadline)
             answer = await link.run(render(step), remaining)
-            step = execution.on(reply_from(answer))
+            step = execution.on_reply(reply_from(answer))
         if not isinstance(step, Executed):
             link.close()
         return step
