--- a/bench/slopes_parts/caller_front.py
+++ b/bench/slopes_parts/caller_front.py
@@ -4,7 +4,7 @@
 
 from jackdawcrank.front.front_server import FrontServer
 from jackdawcrank_policy.tokens import (
-    ForgedToken,
+    InvalidToken,
     SessionToken,
     TokenSigner,
 )
@@ -72,7 +72,7 @@
         """Sign a token."""
         return self.signer.sign(token)
 
-    def verify(self, text: str) -> SessionToken | ForgedToken:
+    def verify(self, text: str) -> SessionToken | InvalidToken:
         """Verify a token."""
         return self.signer.verify(text)
 
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
@@ -112,7 +112,7 @@
       position: The write's position.
       branch: The branch of an open term above the position's.
     """
-    if branch.keeps(position):
+    if branch.contains(position):
         return Done(position)
     return NotRun(
         NotRunReason.WRITE_LOST,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/alignment.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/alignment.py
@@ -38,7 +38,7 @@
       position: The end of a server's log.
       branch: The branch of the open term.
     """
-    if branch.keeps(position):
+    if branch.contains(position):
         return 0
     kept = 0
     for start in branch.starts:
@@ -88,4 +88,4 @@
     """
     in_term = report.term == row.term and report.role is ServerRole.REPLICA
     pulls = report.caught_up or report.position.term == row.term
-    return in_term and pulls and row.branch.keeps(report.position)
+    return in_term and pulls and row.branch.contains(report.position)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/evidence.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/evidence.py
@@ -57,7 +57,8 @@
         self.servers = {
             name: evidence
             for name, evidence in self.servers.items()
-            if evidence.term >= branch.term and branch.keeps(evidence.position)
+            if evidence.term >= branch.term
+            and branch.contains(evidence.position)
         }
 
     def hold_term(self, until: float) -> None:
@@ -88,7 +89,7 @@
         self.newest_sent[server] = sent_at
         if report.term < self.branch.term:
             return
-        if not self.branch.keeps(report.position):
+        if not self.branch.contains(report.position):
             self.servers.pop(server, None)
             return
         self.record(report, sent_at)
@@ -140,9 +141,9 @@
           branch: The group's branch.
         """
         known = self.position(server)
-        if known is None or not branch.keeps(known):
+        if known is None or not branch.contains(known):
             return False
-        return branch.keeps(position) and known.offset >= position.offset
+        return branch.contains(position) and known.offset >= position.offset
 
     def complete_as_of(self, server: str) -> float | None:
         """Return an instant up to which a server holds every write.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/choice.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/choice.py
@@ -62,4 +62,4 @@
 
 
 def _is_on(branch: Branch, position: Position) -> bool:
-    return not branch.starts or branch.keeps(position)
+    return not branch.starts or branch.contains(position)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/candidate.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/candidate.py
@@ -44,9 +44,9 @@
         """
         if position is None:
             return True
-        if self.position is None or not branch.keeps(self.position):
+        if self.position is None or not branch.contains(self.position):
             return False
-        return branch.keeps(position) and (
+        return branch.contains(position) and (
             self.position.offset >= position.offset
         )
 
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_request.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_request.py
@@ -48,7 +48,7 @@
         Args:
           branch: The group's branch.
         """
-        off_branch = (p for p in self.bounds() if not branch.keeps(p))
+        off_branch = (p for p in self.bounds() if not branch.contains(p))
         return next(off_branch, None)
 
     def pinned_elsewhere(self, server: str) -> bool:
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/__init__.py
@@ -1,6 +1,6 @@
 """Session tokens: what a session has seen, held and carried by the caller."""
 
-from jackdawcrank_policy.tokens.forged_token import ForgedToken
+from jackdawcrank_policy.tokens.invalid_token import InvalidToken
 from jackdawcrank_policy.tokens.session_token import MAX_GROUPS, SessionToken
 from jackdawcrank_policy.tokens.token_signer import (
     MAX_TOKEN_CHARACTERS,
@@ -10,7 +10,7 @@
 __all__ = [
     "MAX_GROUPS",
     "MAX_TOKEN_CHARACTERS",
-    "ForgedToken",
+    "InvalidToken",
     "SessionToken",
     "TokenSigner",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/forged_token.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/invalid_token.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ForgedToken:
+class InvalidToken:
     """A token that cannot be trusted.
 
     Attributes:
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/session_token.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/session_token.py
@@ -19,26 +19,28 @@
 
     A group's entry leaves the token in two cases only, because a group
     without an entry gets reads without a bound. Either every server that may
-    serve or lead the group has reached the entry (`settled`), or the caller
+    serve or lead the group has reached the entry (`pruned`), or the caller
     was told that it was lost and begins anew (`without`). The oldest entry is
     never dropped for want of room: a statement on one more group than
     `MAX_GROUPS` has to be refused before it runs (`has_room`).
 
     Attributes:
-      seen: Group keys and positions, the least recently used first.
+      entries: Group keys and positions, the least recently used first.
     """
 
-    seen: tuple[tuple[int, Position], ...] = ()
+    entries: tuple[tuple[int, Position], ...] = ()
 
     def position(self, group: str) -> Position | None:
         """Return the position seen of a group; None if there is none."""
-        return dict(self.seen).get(group_key(group))
+        return dict(self.entries).get(group_key(group))
 
     def has_room(self, group: str) -> bool:
         """Return whether the token can take an entry of a group."""
-        return len(self.seen) < MAX_GROUPS or self.position(group) is not None
+        return (
+            len(self.entries) < MAX_GROUPS or self.position(group) is not None
+        )
 
-    def judged_by(self, group: str, branch: Branch) -> bool:
+    def is_comparable(self, group: str, branch: Branch) -> bool:
         """Return whether a branch is new enough to judge a group's entry."""
         position = self.position(group)
         return position is None or position.term <= branch.term
@@ -61,15 +63,15 @@
           ValueError: The branch is older than that, or the token has no room
             for another group.
         """
-        if position.term > branch.term or not self.judged_by(group, branch):
+        if position.term > branch.term or not self.is_comparable(group, branch):
             raise ValueError(f"the branch ends at term {branch.term}")
         if not self.has_room(group):
             raise ValueError("the token has no room for another group")
-        newest = newest_seen(self.position(group), position, branch)
-        kept = self.without(group).seen
-        return SessionToken((*kept, (group_key(group), newest)))
+        newest = required_position(self.position(group), position, branch)
+        remaining = self.without(group).entries
+        return SessionToken((*remaining, (group_key(group), newest)))
 
-    def settled(
+    def pruned(
         self, group: str, floor: Position, branch: Branch
     ) -> "SessionToken":
         """Return the token without a group that needs no bound any more.
@@ -81,7 +83,7 @@
           branch: The group's branch.
         """
         position = self.position(group)
-        if position is None or not branch.keeps(position):
+        if position is None or not branch.contains(position):
             return self
         if position.offset > floor.offset:
             return self
@@ -90,10 +92,10 @@
     def without(self, group: str) -> "SessionToken":
         """Return the token without a group."""
         key = group_key(group)
-        return SessionToken(tuple(e for e in self.seen if e[0] != key))
+        return SessionToken(tuple(e for e in self.entries if e[0] != key))
 
 
-def newest_seen(
+def required_position(
     earlier: Position | None, later: Position, branch: Branch
 ) -> Position:
     """Return the position that a session must be held to from now on.
@@ -103,8 +105,8 @@
       later: A position that it has seen since.
       branch: The group's branch, at least as new as both terms.
     """
-    if earlier is None or not branch.keeps(later):
+    if earlier is None or not branch.contains(later):
         return later
-    if not branch.keeps(earlier):
+    if not branch.contains(earlier):
         return earlier
     return max(earlier, later, key=lambda p: (p.offset, p.term))
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/token_signer.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/token_signer.py
@@ -5,7 +5,7 @@
 import hashlib
 import hmac
 
-from jackdawcrank_policy.tokens.forged_token import ForgedToken
+from jackdawcrank_policy.tokens.invalid_token import InvalidToken
 from jackdawcrank_policy.tokens.session_token import MAX_GROUPS, SessionToken
 from jackdawcrank_policy.values import Position
 
@@ -43,25 +43,25 @@
         mac = compute_mac(key, payload)
         return base64.urlsafe_b64encode(payload + mac).rstrip(b"=").decode()
 
-    def verify(self, text: str) -> SessionToken | ForgedToken:
+    def verify(self, text: str) -> SessionToken | InvalidToken:
         """Return the token written as text, or why it is not to be trusted.
 
         Args:
           text: What a caller gave as its token.
         """
         if len(text) > MAX_TOKEN_CHARACTERS:
-            return ForgedToken("the token is too long")
-        data = decode_text(text)
+            return InvalidToken("the token is too long")
+        data = decode_base64(text)
         if data is None or len(data) < HEADER_BYTES + MAC_BYTES:
-            return ForgedToken("the token is malformed")
+            return InvalidToken("the token is malformed")
         payload, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-        if not self.signed(payload, mac):
-            return ForgedToken("the signature does not match")
+        if not self.has_valid_mac(payload, mac):
+            return InvalidToken("the signature does not match")
         if payload[0] != TOKEN_VERSION:
-            return ForgedToken(f"unknown token version {payload[0]}")
+            return InvalidToken(f"unknown token version {payload[0]}")
         return decode_entries(payload[HEADER_BYTES:])
 
-    def signed(self, payload: bytes, mac: bytes) -> bool:
+    def has_valid_mac(self, payload: bytes, mac: bytes) -> bool:
         """Return whether one of the keys made the code of a payload."""
         return any(
             hmac.compare_digest(compute_mac(key, payload), mac)
@@ -80,7 +80,7 @@
     return hmac.new(key, payload, hashlib.sha256).digest()[:MAC_BYTES]
 
 
-def decode_text(text: str) -> bytes | None:
+def decode_base64(text: str) -> bytes | None:
     """Return the bytes of URL-safe text; None if it is malformed."""
     padding = "=" * (-len(text) % 4)
     try:
@@ -95,15 +95,15 @@
         key.to_bytes(GROUP_KEY_BYTES)
         + position.term.to_bytes(TERM_BYTES)
         + position.offset.to_bytes(OFFSET_BYTES)
-        for key, position in token.seen
+        for key, position in token.entries
     )
 
 
-def decode_entries(body: bytes) -> SessionToken | ForgedToken:
+def decode_entries(body: bytes) -> SessionToken | InvalidToken:
     """Return the token whose entries are the records in a signed body."""
     size = GROUP_KEY_BYTES + TERM_BYTES + OFFSET_BYTES
     if len(body) % size or len(body) > MAX_GROUPS * size:
-        return ForgedToken("the token has a wrong length")
+        return InvalidToken("the token has a wrong length")
     records = [body[i : i + size] for i in range(0, len(body), size)]
     return SessionToken(tuple(decode_entry(record) for record in records))
 
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/branch.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/branch.py
@@ -21,7 +21,7 @@
         """Return the newest term of the branch; 0 for an empty branch."""
         return self.starts[-1].term if self.starts else 0
 
-    def keeps(self, position: Position) -> bool:
+    def contains(self, position: Position) -> bool:
         """Return whether the branch holds the entry at a position.
 
         A position of a term that the branch no longer records is judged by
@@ -35,12 +35,12 @@
         if not self.starts or position.term > self.term:
             return False
         oldest = self.starts[0].term
-        if position.term >= oldest and not self.opened(position.term):
+        if position.term >= oldest and not self.has_term(position.term):
             return False
         later = [s.offset for s in self.starts if s.term > position.term]
         return all(position.offset <= offset for offset in later)
 
-    def opened(self, term: int) -> bool:
+    def has_term(self, term: int) -> bool:
         """Return whether a term is one of those on the branch.
 
         Args:
--- a/packages/jackdawcrank-policy/tests/promotion/test_choice.py
+++ b/packages/jackdawcrank-policy/tests/promotion/test_choice.py
@@ -40,7 +40,7 @@
 
 def test_a_term_that_began_above_the_new_start_keeps_nothing() -> None:
     branch = extend_branch(BRANCH, 3, 90)
-    assert branch.keeps(Position(1, 90))
-    assert not branch.keeps(Position(1, 95))
-    assert not branch.keeps(Position(2, 101))
-    assert branch.keeps(Position(3, 91))
+    assert branch.contains(Position(1, 90))
+    assert not branch.contains(Position(1, 95))
+    assert not branch.contains(Position(2, 101))
+    assert branch.contains(Position(3, 91))
--- a/packages/jackdawcrank-policy/tests/routing/test_session_guarantees.py
+++ b/packages/jackdawcrank-policy/tests/routing/test_session_guarantees.py
@@ -175,7 +175,7 @@
 
     def open_term(self) -> None:
         fenced = [self.servers[name] for name in sorted(self.fenced)]
-        fit = [s for s in fenced if self.branch.keeps(s.position())]
+        fit = [s for s in fenced if self.branch.contains(s.position())]
         last = self.branch.starts[-1].offset
         fit = [s for s in fit if len(s.log) >= last]
         if len(fenced) < 2 or not fit:
@@ -334,7 +334,7 @@
         if hold is None or hold.bound is None:
             return
         branch = evidence.branch
-        judged = session.decoded().judged_by(GROUP, branch)
+        judged = session.decoded().is_comparable(GROUP, branch)
         if judged and hold.bound.term <= branch.term:
             session.advance(hold.bound, branch)
             session.reads.forget(GROUP)
--- a/packages/jackdawcrank-policy/tests/tokens/test_session_token.py
+++ b/packages/jackdawcrank-policy/tests/tokens/test_session_token.py
@@ -23,7 +23,7 @@
     ],
     ids=["newer", "older", "across terms", "lost stays", "lost replaces"],
 )
-def test_advanced_keeps_what_binds_the_session(
+def test_advanced_keeps_the_required_position(
     earlier: Position, later: Position, expected: Position
 ) -> None:
     token = token_at(earlier.term, earlier.offset)
@@ -31,17 +31,17 @@
     assert token.position("ledger") == expected
 
 
-def test_a_term_that_the_branch_does_not_know_is_refused() -> None:
+def test_position_newer_than_the_branch_is_refused() -> None:
     with pytest.raises(ValueError, match="ends at term 2"):
         token_at(3, 99)
     old_branch = Branch(BRANCH.starts[:1])
     token = token_at(2, 60)
-    assert not token.judged_by("ledger", old_branch)
+    assert not token.is_comparable("ledger", old_branch)
     with pytest.raises(ValueError, match="ends at term 1"):
         token.advanced("ledger", Position(1, 55), old_branch)
 
 
-def test_a_full_token_never_drops_an_entry() -> None:
+def test_full_token_never_drops_an_entry() -> None:
     token = SessionToken()
     for number in range(MAX_GROUPS):
         token = token.advanced(f"g{number}", Position(1, 1), BRANCH)
@@ -49,13 +49,13 @@
     assert token.has_room("g0")
     with pytest.raises(ValueError, match="no room"):
         token.advanced("another", Position(1, 1), BRANCH)
-    assert len(token.seen) == MAX_GROUPS
+    assert len(token.entries) == MAX_GROUPS
 
 
-def test_only_a_position_that_every_server_has_is_settled() -> None:
+def test_only_positions_that_every_server_has_are_pruned() -> None:
     token = token_at(1, 40)
-    assert token.settled("ledger", Position(1, 39), BRANCH) == token
-    settled = token.settled("ledger", Position(1, 40), BRANCH)
-    assert settled.position("ledger") is None
+    assert token.pruned("ledger", Position(1, 39), BRANCH) == token
+    pruned = token.pruned("ledger", Position(1, 40), BRANCH)
+    assert pruned.position("ledger") is None
     lost = token_at(1, 60)
-    assert lost.settled("ledger", Position(2, 99), BRANCH) == lost
+    assert lost.pruned("ledger", Position(2, 99), BRANCH) == lost
--- a/packages/jackdawcrank-policy/tests/tokens/test_token_signer.py
+++ b/packages/jackdawcrank-policy/tests/tokens/test_token_signer.py
@@ -9,7 +9,7 @@
 from jackdawcrank_policy.tokens import (
     MAX_GROUPS,
     MAX_TOKEN_CHARACTERS,
-    ForgedToken,
+    InvalidToken,
     SessionToken,
     TokenSigner,
 )
@@ -22,12 +22,12 @@
 )
 TOKENS = st.dictionaries(
     st.integers(0, 2**64 - 1), POSITIONS, max_size=MAX_GROUPS
-).map(lambda seen: SessionToken(tuple(seen.items())))
+).map(lambda entries: SessionToken(tuple(entries.items())))
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(token=TOKENS)
-def test_a_signed_token_comes_back_whole(token: SessionToken) -> None:
+def test_signed_token_round_trips(token: SessionToken) -> None:
     signer = TokenSigner((NEW_KEY,))
     text = signer.sign(token)
     assert len(text) <= MAX_TOKEN_CHARACTERS
@@ -36,7 +36,7 @@
 
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(token=TOKENS, data=st.data())
-def test_a_changed_byte_is_found(
+def test_changed_byte_is_rejected(
     token: SessionToken, data: st.DataObject
 ) -> None:
     signer = TokenSigner((NEW_KEY,))
@@ -46,19 +46,19 @@
         st.integers(1, 255)
     )
     changed = base64.urlsafe_b64encode(raw).decode().rstrip("=")
-    assert isinstance(signer.verify(changed), ForgedToken)
+    assert isinstance(signer.verify(changed), InvalidToken)
 
 
-def test_a_rotated_key_still_verifies_until_it_is_removed() -> None:
+def test_old_key_verifies_until_it_is_removed() -> None:
     token = SessionToken(((7, Position(1, 2)),))
     text = TokenSigner((OLD_KEY,)).sign(token)
     assert TokenSigner((NEW_KEY, OLD_KEY)).verify(text) == token
-    assert isinstance(TokenSigner((NEW_KEY,)).verify(text), ForgedToken)
+    assert isinstance(TokenSigner((NEW_KEY,)).verify(text), InvalidToken)
 
 
 @pytest.mark.parametrize("text", ["", "x", "é" * 40, "=" * 40, "A" * 513])
-def test_text_that_is_no_token_is_refused(text: str) -> None:
-    assert isinstance(TokenSigner((NEW_KEY,)).verify(text), ForgedToken)
+def test_malformed_text_is_rejected(text: str) -> None:
+    assert isinstance(TokenSigner((NEW_KEY,)).verify(text), InvalidToken)
 
 
 def test_short_keys_are_refused() -> None:
--- a/packages/jackdawcrank-policy/tests/values/test_branch.py
+++ b/packages/jackdawcrank-policy/tests/values/test_branch.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("term", "offset", "kept"),
+    ("term", "offset", "contained"),
     [
         (0, 0, True),
         (1, 10, True),
@@ -23,16 +23,16 @@
         (5, 1, False),
     ],
 )
-def test_keeps_only_entries_below_the_next_term(
-    branch: Branch, term: int, offset: int, kept: bool
+def test_contains_only_entries_below_the_next_term(
+    branch: Branch, term: int, offset: int, contained: bool
 ) -> None:
-    assert branch.keeps(Position(term, offset)) is kept
+    assert branch.contains(Position(term, offset)) is contained
 
 
 def test_entry_is_lost_if_any_later_term_began_below_it() -> None:
     branch = Branch((TermStart(1, 0), TermStart(2, 10), TermStart(3, 9)))
-    assert not branch.keeps(Position(1, 10))
-    assert branch.keeps(Position(1, 9))
+    assert not branch.contains(Position(1, 10))
+    assert branch.contains(Position(1, 9))
 
 
 def test_extension_refuses_an_older_term(branch: Branch) -> None:
@@ -40,7 +40,7 @@
         branch.extended(TermStart(4, 12))
 
 
-def test_position_survives_its_written_form() -> None:
+def test_position_round_trips_as_text() -> None:
     assert Position.parse(str(Position(7, 42))) == Position(7, 42)
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
@@ -226,7 +226,7 @@
 
     def _bounds(self, report: ServerReport) -> bool:
         branch = self.state.table.evidence.branch
-        return report.term == branch.term and branch.keeps(report.position)
+        return report.term == branch.term and branch.contains(report.position)
 
     def _weight(self, caller_class: str) -> int:
         spec = self.classes.get(caller_class)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
@@ -7,7 +7,7 @@
 from jackdawcrank.front.statement_router import StatementRouter
 from jackdawcrank.results.errors import not_run
 from jackdawcrank.statements import Options
-from jackdawcrank_policy.tokens import ForgedToken, SessionToken
+from jackdawcrank_policy.tokens import InvalidToken, SessionToken
 from jackdawcrank_policy.values import (
     Branch,
     NotRunReason,
@@ -95,7 +95,7 @@
         if not options.session:
             return None
         given = self.router.verify(options.session)
-        if isinstance(given, ForgedToken):
+        if isinstance(given, InvalidToken):
             return not_run("bad_option", f"session: {given.detail}", 1210)
         refusal = self.check_room(group)
         if refusal is not None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_router.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from jackdawcrank_policy.tokens import ForgedToken, SessionToken
+from jackdawcrank_policy.tokens import InvalidToken, SessionToken
 from jackdawcrank_policy.values import Branch, NotRun
 from jackdawcrank_wire.messages import StatementRequest, StatementResult
 
@@ -37,5 +37,5 @@
     def sign(self, token: SessionToken) -> str:
         """Return a session token as signed text."""
 
-    def verify(self, text: str) -> SessionToken | ForgedToken:
+    def verify(self, text: str) -> SessionToken | InvalidToken:
         """Return the session token in a signed text."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_agent.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_agent.py
@@ -262,7 +262,7 @@
         chosen = target or self.best_replica(reports, row)
         if chosen not in reports or chosen == row.primary:
             return Refused(f"{chosen or 'no replica'} cannot take over")
-        if not row.branch.keeps(reports[chosen].position):
+        if not row.branch.contains(reports[chosen].position):
             return Refused(f"{chosen} is not on the branch of the term")
         end_offset = reports[row.primary].position.offset
         lag = end_offset - reports[chosen].position.offset
@@ -303,7 +303,7 @@
         candidates = [
             (name in self.context.avoid, -report.position.offset, name)
             for name, report in reports.items()
-            if name != row.primary and row.branch.keeps(report.position)
+            if name != row.primary and row.branch.contains(report.position)
         ]
         return min(candidates)[2] if candidates else None
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
@@ -14,7 +14,7 @@
 from jackdawcrank_policy.budget import writer_names
 from jackdawcrank_policy.retry import RetryBudget
 from jackdawcrank_policy.tokens import (
-    ForgedToken,
+    InvalidToken,
     SessionToken,
     TokenSigner,
 )
@@ -158,7 +158,7 @@
         """
         return self.signer.sign(token)
 
-    def verify(self, text: str) -> SessionToken | ForgedToken:
+    def verify(self, text: str) -> SessionToken | InvalidToken:
         """Return the session token in a signed text.
 
         Args:
