--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/__init__.py
@@ -1,4 +1,4 @@
-"""Session tokens: what a session has seen, held and carried by the caller."""
+"""Session tokens, which carry the positions that a session has observed."""
 
 from jackdawcrank_policy.tokens.invalid_token import InvalidToken
 from jackdawcrank_policy.tokens.session_token import MAX_GROUPS, SessionToken
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/invalid_token.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/invalid_token.py
@@ -1,14 +1,14 @@
-"""The outcome of reading a token that this system did not sign."""
+"""The result of verifying a token that is not valid."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class InvalidToken:
-    """A token that cannot be trusted.
+    """A token that failed verification.
 
     Attributes:
-      detail: What is wrong with it, for people.
+      detail: A human-readable reason.
     """
 
     detail: str
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/session_token.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/session_token.py
@@ -1,4 +1,4 @@
-"""What a session has seen of each database group."""
+"""The log positions that a session has observed, per database group."""
 
 import attrs
 import xxhash
@@ -9,7 +9,7 @@
 
 
 def group_key(group: str) -> int:
-    """Return the 64-bit key that stands for a group in a token."""
+    """Return the 64-bit hash that identifies a group in a token."""
     return xxhash.xxh64_intdigest(group.encode())
 
 
@@ -17,51 +17,51 @@
 class SessionToken:
     """The newest position that a session has written or read, per group.
 
-    A group's entry leaves the token in two cases only, because a group
-    without an entry gets reads without a bound. Either every server that may
-    serve or lead the group has reached the entry (`pruned`), or the caller
-    was told that it was lost and begins anew (`without`). The oldest entry is
-    never dropped for want of room: a statement on one more group than
-    `MAX_GROUPS` has to be refused before it runs (`has_room`).
+    Reads of a group without an entry have no minimum position. An entry is
+    therefore removed in two cases only: every server that can serve or lead
+    the group has reached its position (`pruned`), or the caller was informed
+    that the position was lost and starts over (`without`). Entries are never
+    evicted to make space. A statement on one more group than `MAX_GROUPS`
+    must be refused before it runs (`has_room`).
 
     Attributes:
-      entries: Group keys and positions, the least recently used first.
+      entries: Pairs of group key and position, least recently used first.
     """
 
     entries: tuple[tuple[int, Position], ...] = ()
 
     def position(self, group: str) -> Position | None:
-        """Return the position seen of a group; None if there is none."""
+        """Return the recorded position of a group; None if there is none."""
         return dict(self.entries).get(group_key(group))
 
     def has_room(self, group: str) -> bool:
-        """Return whether the token can take an entry of a group."""
+        """Return whether the token can hold an entry for a group."""
         return (
             len(self.entries) < MAX_GROUPS or self.position(group) is not None
         )
 
     def is_comparable(self, group: str, branch: Branch) -> bool:
-        """Return whether a branch is new enough to judge a group's entry."""
+        """Return whether a branch reaches the term of a group's entry."""
         position = self.position(group)
         return position is None or position.term <= branch.term
 
     def advanced(
         self, group: str, position: Position, branch: Branch
     ) -> "SessionToken":
-        """Return the token after the session saw a position of a group.
+        """Return the token updated with a position that the session observed.
 
-        A position that the branch has lost stays in the token, so that the
-        next read is told of the loss instead of getting an older answer.
+        A position that is no longer on the branch stays in the token, so that
+        the next read reports the loss instead of returning older data.
 
         Args:
           group: The group's name.
-          position: The position of a write or an upper bound of a read.
-          branch: The group's branch, at least as new as the terms of the
-            position and of the token's entry.
+          position: The position of a write, or an upper bound for a read.
+          branch: The group's branch. It must reach the terms of the position
+            and of the token's entry.
 
         Raises:
-          ValueError: The branch is older than that, or the token has no room
-            for another group.
+          ValueError: The branch ends before one of these terms, or the token
+            has no room for another group.
         """
         if position.term > branch.term or not self.is_comparable(group, branch):
             raise ValueError(f"the branch ends at term {branch.term}")
@@ -74,11 +74,11 @@
     def pruned(
         self, group: str, floor: Position, branch: Branch
     ) -> "SessionToken":
-        """Return the token without a group that needs no bound any more.
+        """Return the token without an entry that all servers have reached.
 
         Args:
           group: The group's name.
-          floor: A position that every server which may serve or lead the
+          floor: A position that every server that can serve or lead the
             group has reached on the branch.
           branch: The group's branch.
         """
@@ -90,7 +90,7 @@
         return self.without(group)
 
     def without(self, group: str) -> "SessionToken":
-        """Return the token without a group."""
+        """Return the token without the entry of a group."""
         key = group_key(group)
         return SessionToken(tuple(e for e in self.entries if e[0] != key))
 
@@ -98,12 +98,12 @@
 def required_position(
     earlier: Position | None, later: Position, branch: Branch
 ) -> Position:
-    """Return the position that a session must be held to from now on.
+    """Return the minimum position for further reads of a session.
 
     Args:
-      earlier: The position that the session was held to.
-      later: A position that it has seen since.
-      branch: The group's branch, at least as new as both terms.
+      earlier: The previous minimum position; None if there was none.
+      later: A position that the session has observed since.
+      branch: The group's branch. It must reach the terms of both positions.
     """
     if earlier is None or not branch.contains(later):
         return later
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/token_signer.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/token_signer.py
@@ -15,17 +15,17 @@
 MAC_BYTES = 16
 GROUP_KEY_BYTES = 8
 MIN_KEY_BYTES = 16
-# Lengths in bytes that keep MAX_GROUPS entries within the limit.
+# Field widths in bytes. MAX_GROUPS entries fit in MAX_TOKEN_CHARACTERS.
 TERM_BYTES = 4
 OFFSET_BYTES = 8
 
 
 class TokenSigner:
-    """Signs session tokens and reads them back.
+    """Signs and verifies session tokens.
 
-    The first key signs; every key verifies, so that a new key is first added
-    at the end on every proxy, then moved to the front, and the old one is
-    removed when its tokens are no longer in use.
+    The first key signs and every key verifies. To rotate keys, append the new
+    key on every proxy, then move it to the front, and remove the old key when
+    the tokens that it signed are no longer in use.
 
     Attributes:
       keys: The secret keys, each of at least 16 bytes.
@@ -44,10 +44,10 @@
         return base64.urlsafe_b64encode(payload + mac).rstrip(b"=").decode()
 
     def verify(self, text: str) -> SessionToken | InvalidToken:
-        """Return the token written as text, or why it is not to be trusted.
+        """Return the decoded token, or the reason why it is invalid.
 
         Args:
-          text: What a caller gave as its token.
+          text: The token text sent by a caller.
         """
         if len(text) > MAX_TOKEN_CHARACTERS:
             return InvalidToken("the token is too long")
@@ -62,7 +62,7 @@
         return decode_entries(payload[HEADER_BYTES:])
 
     def has_valid_mac(self, payload: bytes, mac: bytes) -> bool:
-        """Return whether one of the keys made the code of a payload."""
+        """Return whether the MAC of a payload was made with one of the keys."""
         return any(
             hmac.compare_digest(compute_mac(key, payload), mac)
             for key in self.keys
@@ -71,7 +71,7 @@
 
 
 def key_id(key: bytes) -> int:
-    """Return the byte that tells which key may have signed a token."""
+    """Return the one-byte hint of a signing key; keys may share a hint."""
     return hashlib.sha256(b"jackdawcrank key id" + key).digest()[0]
 
 
@@ -81,7 +81,7 @@
 
 
 def decode_base64(text: str) -> bytes | None:
-    """Return the bytes of URL-safe text; None if it is malformed."""
+    """Return the bytes of URL-safe base64; None if it is malformed."""
     padding = "=" * (-len(text) % 4)
     try:
         return base64.b64decode(text + padding, altchars=b"-_", validate=True)
@@ -100,7 +100,7 @@
 
 
 def decode_entries(body: bytes) -> SessionToken | InvalidToken:
-    """Return the token whose entries are the records in a signed body."""
+    """Return the token encoded in a body whose signature was verified."""
     size = GROUP_KEY_BYTES + TERM_BYTES + OFFSET_BYTES
     if len(body) % size or len(body) > MAX_GROUPS * size:
         return InvalidToken("the token has a wrong length")
--- a/packages/jackdawcrank-policy/tests/tokens/test_session_token.py
+++ b/packages/jackdawcrank-policy/tests/tokens/test_session_token.py
@@ -1,4 +1,4 @@
-"""Tests of what a token remembers."""
+"""Tests of session tokens."""
 
 import pytest
 
