--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/__init__.py
@@ -1,4 +1,4 @@
-"""What a session has set up, and how a shared connection takes it over."""
+"""Session state and how it is applied to shared server connections."""
 
 from jackdawcrank_policy.sessions.connection_context import ConnectionContext
 from jackdawcrank_policy.sessions.prepared_statement import PreparedStatement
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/connection_context.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/connection_context.py
@@ -1,4 +1,4 @@
-"""What a server connection holds of the sessions that used it."""
+"""The session state that is set on a server connection."""
 
 import attrs
 
@@ -11,17 +11,19 @@
     SetValue,
 )
 
-# A connection drops its names beyond this many, so that a caller with endless
-# distinct shapes does not fill the server's memory.
+# A connection with this many prepared statements is reset before its next
+# statement. Otherwise a caller with an unbounded number of distinct statements
+# would fill the server's memory.
 MAX_PREPARED_PER_CONNECTION = 200
 
 
 @attrs.define
 class ConnectionContext:
-    """Session values and prepared names of one server connection.
+    """Session values and prepared statements set on a server connection.
 
-    Names of different sessions collide, so each distinct statement has a name
-    of the connection's own, shared by all sessions that prepared it.
+    Different sessions may use the same name for different statements. The
+    connection therefore assigns its own name to each distinct statement, which
+    is shared by all sessions that prepared it.
 
     Attributes:
       values: Session values by name, as set on the connection.
@@ -34,11 +36,11 @@
     def plan_setup(
         self, session: SessionContext, statement: PreparedStatement | None
     ) -> list[SetupStep]:
-        """Return what must run before a statement; remember it as done.
+        """Return the setup steps for a statement and record them as applied.
 
         Args:
-          session: Whose statement is to run.
-          statement: The prepared statement that it executes, if any.
+          session: The session whose statement is to run.
+          statement: The prepared statement to execute, if any.
         """
         steps: list[SetupStep] = []
         stale = self.values.keys() - session.values.keys()
@@ -56,10 +58,12 @@
         return steps
 
     def count_differences(self, session: SessionContext) -> int:
-        """Return how many values differ from a session's.
+        """Return the number of name-value pairs set on only one side.
+
+        A name with different values on the two sides counts twice.
 
         Args:
-          session: The session that looks for a connection.
+          session: The session that needs a connection.
         """
         if self.values == session.values:
             return 0
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/prepared_statement.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/prepared_statement.py
@@ -5,10 +5,10 @@
 
 @attrs.frozen
 class PreparedStatement:
-    """What a prepared name stands for.
+    """A statement that a session or a connection has prepared under a name.
 
     Attributes:
-      writes: Whether it changes data.
+      writes: Whether the statement changes data.
       shape: The statement's text, opaque to the proxy.
     """
 
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/session_context.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/session_context.py
@@ -1,4 +1,4 @@
-"""What a caller's session has set up."""
+"""The state that a caller has set up in its session."""
 
 import attrs
 
@@ -7,11 +7,11 @@
 
 @attrs.define
 class SessionContext:
-    """Session values and prepared names, as acknowledged to the caller.
+    """Session values and prepared statements acknowledged to the caller.
 
     Attributes:
       values: Session values by name.
-      statements: Prepared statements by the caller's name.
+      statements: Prepared statements by the names that the caller chose.
     """
 
     values: dict[str, str] = attrs.Factory(dict)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/setup_step.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/sessions/setup_step.py
@@ -1,4 +1,4 @@
-"""The steps that make a connection fit a session."""
+"""The steps that prepare a server connection for a session."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class ResetSession:
-    """Drops all session values and prepared names of the connection."""
+    """Drops all session values and prepared statements of the connection."""
 
 
 @attrs.frozen
@@ -28,8 +28,8 @@
     """Prepares a statement.
 
     Attributes:
-      name: The name on this connection.
-      statement: What it stands for.
+      name: The statement's name on this connection.
+      statement: The statement to prepare.
     """
 
     name: str
