--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/expiry.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/expiry.py
@@ -1,4 +1,4 @@
-"""The rule by which request records expire."""
+"""The retention of request records."""
 
 REQUEST_RECORD_SECONDS = 7 * 24 * 3600
 EXPIRY_BATCH_SECONDS = 600
@@ -9,15 +9,17 @@
 def expired_before(oldest: int | None, now: int) -> int | None:
     """Return the creation time below which records may be deleted now.
 
-    Records are kept for `REQUEST_RECORD_SECONDS` and then deleted in slices
-    of `EXPIRY_BATCH_SECONDS`, so that no single deletion is large.
+    Records are kept for `REQUEST_RECORD_SECONDS` and then deleted in batches.
+    A batch spans `EXPIRY_BATCH_SECONDS` of creation times, so that no single
+    deletion is large.
 
     Args:
-      oldest: The creation time of the oldest record, in unix seconds.
-      now: The time of day, in unix seconds.
+      oldest: The creation time of the oldest record, in Unix seconds; None if
+        there are no records.
+      now: The current time, in Unix seconds.
 
     Returns:
-      The bound for `DELETE_EXPIRED`, or None if nothing has expired.
+      The parameter of `DELETE_EXPIRED`, or None if nothing has expired.
     """
     if oldest is None:
         return None
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/request_execution.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/request_execution.py
@@ -37,7 +37,7 @@
 ROLLED_BACK_CODES = frozenset(
     {ER_LOCK_WAIT_TIMEOUT, ER_DEADLOCK, ER_READ_ONLY, ER_QUERY_TIMEOUT}
 )
-# The code of a server that is shutting down, which ends a connection too.
+# MySQL reports this error when a server shuts down and ends its connections.
 CONNECTION_LOST_CODE = 1053
 CONNECTION_LOST_SQLSTATE = "08S01"
 BUSY_RETRY_MS = 200
@@ -62,9 +62,9 @@
     """A statement for the executor to run on the execution's connection.
 
     Attributes:
-      step: The step that it belongs to.
-      sql: The text, with `%s` for each parameter.
-      parameters: The parameters.
+      step: The step of the execution that the statement belongs to.
+      sql: The text, with a `%s` placeholder for each parameter.
+      parameters: The values of the placeholders.
     """
 
     step: RequestStep
@@ -74,13 +74,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Executed:
-    """The write stands on the primary and is to be acknowledged.
+    """The write is committed on the primary and must be acknowledged.
 
     Attributes:
       result: The result of the first execution.
-      repeated: Whether an earlier execution gave it. A repeat is
-        acknowledged like a read of the primary.
-      position: The commit's position, where this execution wrote it.
+      repeated: Whether an earlier execution gave the result. A repeat is
+        acknowledged under the rules for a read from the primary.
+      position: The position of the commit, if this execution committed.
     """
 
     result: RequestResult
@@ -95,22 +95,26 @@
 class RequestExecution:
     """Runs a write and its request record in one backend transaction.
 
-    Call `start` and run the statement that it returns; pass each reply to
-    `on`, which returns the next statement or the end. The whole execution
-    runs on one connection. After any end but `Executed` with a live
-    connection, and always after `ConnectionLost`, the connection is closed.
+    Call `start` and run the returned statement. Pass each reply to `on_reply`,
+    which returns the next statement or the final outcome. The whole execution
+    uses one connection. The connection must be closed after `ConnectionLost`
+    and after every outcome other than `Executed`.
 
-    A repeat that races the first execution blocks on the record's unique key
-    until the first has committed or rolled back. The statement is sent once
-    per execution, and an execution is never restarted after it was sent.
+    A repeat that runs concurrently with the first execution blocks on the
+    unique key of the record until the first execution has committed or rolled
+    back. The statement is sent at most once per execution, and an execution is
+    never restarted after the statement was sent.
 
     Attributes:
       request_id: The caller's request id.
       digest: The digest of the statement.
-      sql: The statement itself.
-      created_at: The time of day, in unix seconds.
-      implicit_commit: Whether the statement commits by itself, as DDL does.
+      sql: The text of the statement.
+      created_at: The time of the request, in Unix seconds.
+      implicit_commit: Whether the statement commits implicitly, as DDL does.
       step: The step whose reply is awaited.
+      result: The result of the statement, set when it has run.
+      after_rollback: The statement or outcome that follows the ROLLBACK.
+      created_table: Whether creation of the request table was attempted.
     """
 
     request_id: str
@@ -128,10 +132,10 @@
         return self.mark_sent(Statement(RequestStep.BEGIN, "BEGIN"))
 
     def on_reply(self, reply: StatementReply) -> Statement | ExecutionOutcome:
-        """Return what follows the reply to the awaited statement.
+        """Return the statement or outcome that follows a reply.
 
         Args:
-          reply: What became of it.
+          reply: The reply to the most recently returned statement.
         """
         next_step = _handle_reply(reply, self)
         if isinstance(next_step, Statement):
@@ -139,19 +143,19 @@
         return next_step
 
     def mark_sent(self, statement: Statement) -> Statement:
-        """Await the reply to a statement."""
+        """Return a statement after recording its step as awaiting a reply."""
         self.step = statement.step
         return statement
 
     def roll_back(
         self, continuation: Statement | ExecutionOutcome
     ) -> Statement:
-        """Return the roll-back that comes before what follows."""
+        """Return a ROLLBACK and store what follows it."""
         self.after_rollback = continuation
         return Statement(RequestStep.ROLLBACK, "ROLLBACK")
 
     def on_success(self, reply: StatementDone) -> Statement | ExecutionOutcome:
-        """Return what follows a statement that ran."""
+        """Return the statement or outcome that follows a successful reply."""
         match self.step:
             case RequestStep.BEGIN:
                 return Statement(
@@ -187,13 +191,13 @@
                 return self.compare_record(reply)
 
     def compare_record(self, reply: StatementDone) -> ExecutionOutcome:
-        """Compare this request with the one recorded under its id."""
+        """Return the outcome for a request whose id is already recorded."""
         if not reply.rows:
             return _overloaded("the request's record has just been removed")
         record = RequestRecord.from_row(reply.rows[0])
         if record.statement_digest == self.digest:
             if not record.is_finished:
-                return Unknown("the first execution was lost half done")
+                return Unknown("the first execution has no recorded result")
             return Executed(record.result, repeated=True)
         return NotRun(
             NotRunReason.BAD_OPTION,
@@ -201,18 +205,22 @@
         )
 
     def on_error(self, error: ServerError) -> Statement | ExecutionOutcome:
-        """Return what follows an error that the server reported."""
+        """Return the statement or outcome that follows a server error."""
         match self.step:
             case RequestStep.INSERT:
                 return self.on_insert_error(error)
             case RequestStep.RUN | RequestStep.RECORD:
                 if self.implicit_commit:
-                    return Unknown("the statement may have committed itself")
+                    return Unknown(
+                        "the statement may have committed implicitly"
+                    )
                 return self.roll_back(_failed(error))
             case RequestStep.COMMIT if error.code in ROLLED_BACK_CODES:
                 return _failed(error)
             case RequestStep.COMMIT:
-                return Unknown(f"the commit was answered by {error.code}")
+                return Unknown(
+                    f"the server answered the commit with error {error.code}"
+                )
             case RequestStep.ROLLBACK:
                 assert self.after_rollback is not None
                 if isinstance(self.after_rollback, Statement):
@@ -224,7 +232,7 @@
     def on_insert_error(
         self, error: ServerError
     ) -> Statement | ExecutionOutcome:
-        """Return what follows a record that could not be inserted."""
+        """Return the statement or outcome that follows a failed insert."""
         if error.code == ER_DUPLICATE_KEY:
             return self.roll_back(
                 Statement(
@@ -235,27 +243,29 @@
             self.created_table = True
             return self.roll_back(Statement(RequestStep.CREATE, CREATE_TABLE))
         if error.code in (ER_LOCK_WAIT_TIMEOUT, ER_DEADLOCK):
-            return self.roll_back(_overloaded("the same request is running"))
+            return self.roll_back(
+                _overloaded("the same request is already running")
+            )
         if error.code == ER_READ_ONLY:
             return self.roll_back(_no_primary(error.message))
         return self.roll_back(_failed(error))
 
     def on_connection_lost(self, reply: ConnectionLost) -> ExecutionOutcome:
-        """Return the end of an execution that lost its connection.
+        """Return the outcome of an execution that lost its connection.
 
-        The server rolls back a transaction whose connection has ended before
-        its commit was sent.
+        The server rolls back a transaction whose connection ends before its
+        COMMIT was sent.
         """
         if self.step is RequestStep.COMMIT:
             return Unknown("the connection was lost during the commit")
         statement_sent = self.step in (RequestStep.RUN, RequestStep.RECORD)
         if statement_sent and self.implicit_commit:
-            return Unknown("the statement may have committed itself")
+            return Unknown("the statement may have committed implicitly")
         if statement_sent:
             return Failed(
                 CONNECTION_LOST_CODE,
                 CONNECTION_LOST_SQLSTATE,
-                f"rolled back, the connection was lost: {reply.detail}",
+                f"rolled back after the connection was lost: {reply.detail}",
             )
         if self.step is RequestStep.ROLLBACK and isinstance(
             self.after_rollback, Failed | NotRun
@@ -268,7 +278,7 @@
 def _handle_reply(
     reply: StatementReply, execution: RequestExecution
 ) -> Statement | ExecutionOutcome:
-    raise TypeError(f"not a reply: {reply!r}")
+    raise TypeError(f"unsupported reply: {reply!r}")
 
 
 @_handle_reply.register
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/request_record.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/request_record.py
@@ -1,4 +1,4 @@
-"""The record that a write with a request id leaves in its group."""
+"""The record stored in a group for each write with a request id."""
 
 import re
 
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class RequestResult:
-    """The result that the first execution gave.
+    """The result of the first execution.
 
     Attributes:
       affected_rows: The rows that the statement changed.
@@ -45,9 +45,10 @@
 
     Attributes:
       statement_digest: The digest of the statement that ran.
-      result: What it gave.
-      is_finished: Whether the result is known. A statement that commits by
-        itself may have left its record and been lost half done.
+      result: The result of that statement.
+      is_finished: Whether the result is known. It is unknown if a statement
+        that commits implicitly stored its record, but its connection was lost
+        before the result was written.
     """
 
     statement_digest: str
@@ -56,7 +57,7 @@
 
     @classmethod
     def from_row(cls, row: tuple[object, ...]) -> "RequestRecord":
-        """Return the record that `SELECT_RECORD` answered.
+        """Return the record in a row returned by `SELECT_RECORD`.
 
         Args:
           row: Digest, affected rows and last insert id.
@@ -69,7 +70,7 @@
 
 
 def is_request_id(text: str) -> bool:
-    """Return whether a text may serve as a request id."""
+    """Return whether a text is a valid request id."""
     return REQUEST_ID.fullmatch(text) is not None
 
 
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/statement_reply.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/statement_reply.py
@@ -1,4 +1,4 @@
-"""What became of one statement on a backend connection."""
+"""The reply to one statement on a backend connection."""
 
 import dataclasses
 
@@ -10,10 +10,10 @@
     """The server ran the statement.
 
     Attributes:
-      affected_rows: The rows that it changed.
+      affected_rows: The number of rows that the statement changed.
       last_insert_id: The last generated key, or 0.
-      rows: The rows that it returned.
-      position: The log position of a commit that wrote.
+      rows: The rows that the statement returned.
+      position: The log position of a commit that wrote data.
     """
 
     affected_rows: int = 0
@@ -39,10 +39,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConnectionLost:
-    """No usable answer came: a timeout, a reset or a malformed packet.
+    """No valid reply due to a timeout, a reset or a malformed packet.
 
     Attributes:
-      detail: A sentence for people.
+      detail: A human-readable explanation.
     """
 
     detail: str = ""
--- a/packages/jackdawcrank-policy/tests/requests/conftest.py
+++ b/packages/jackdawcrank-policy/tests/requests/conftest.py
@@ -1,4 +1,4 @@
-"""A backend server reduced to its request table and one counter."""
+"""A fake backend server with a request table and a commit counter."""
 
 import functools
 from collections.abc import Callable
@@ -24,10 +24,10 @@
 
 @attrs.define
 class FakeDatabase:
-    """Runs the statements of executions.
+    """Runs the statements of request executions.
 
     Attributes:
-      applied: How often the write has been committed.
+      applied: The number of times that the write was committed.
       records: The committed request records.
       has_table: Whether the request table exists.
     """
@@ -81,7 +81,7 @@
     sql: str = "UPDATE plots SET certified = 1",
     inject_fault: FaultInjector = run_unchanged,
 ) -> ExecutionOutcome:
-    """Run one execution to its end; a lost connection rolls back."""
+    """Run one execution to its outcome; a lost connection rolls back."""
     execution = RequestExecution("r-1", digest_statement(sql), sql, 1000)
     open_records: dict[str, list[object]] = {}
     next_step: Statement | ExecutionOutcome = execution.start()
--- a/packages/jackdawcrank-policy/tests/requests/test_expiry.py
+++ b/packages/jackdawcrank-policy/tests/requests/test_expiry.py
@@ -1,4 +1,4 @@
-"""Expiry of request records."""
+"""Tests of request record expiry and request id validation."""
 
 from jackdawcrank_policy.requests import (
     REQUEST_RECORD_SECONDS,
--- a/packages/jackdawcrank-policy/tests/requests/test_request_execution.py
+++ b/packages/jackdawcrank-policy/tests/requests/test_request_execution.py
@@ -1,4 +1,4 @@
-"""Faults at every step of a write with a request id."""
+"""Tests of faults at every step of a write with a request id."""
 
 from collections.abc import Callable
 from typing import Any
