--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/branch.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/branch.py
@@ -1,4 +1,4 @@
-"""The line of terms that a database group's log has followed."""
+"""The sequence of terms in a database group's replication log."""
 
 import attrs
 
@@ -11,7 +11,7 @@
     """The recent terms of a log, oldest first.
 
     Attributes:
-      starts: Where each recent term began; terms and offsets never decrease.
+      starts: The start of each recent term; terms and offsets never decrease.
     """
 
     starts: tuple[TermStart, ...] = ()
@@ -22,13 +22,14 @@
         return self.starts[-1].term if self.starts else 0
 
     def contains(self, position: Position) -> bool:
-        """Return whether the branch holds the entry at a position.
+        """Return whether the log entry at a position is on the branch.
 
-        A position of a term that the branch no longer records is judged by
-        the oldest start it still has; a term that it skipped is not kept.
+        A position whose term precedes the oldest recorded term is checked
+        against the recorded starts only. A position of a skipped term is not
+        on the branch.
 
         Args:
-          position: The position of the entry in question.
+          position: The position of the log entry.
         """
         if position.offset == 0:
             return True
@@ -41,22 +42,22 @@
         return all(position.offset <= offset for offset in later)
 
     def has_term(self, term: int) -> bool:
-        """Return whether a term is one of those on the branch.
+        """Return whether a term is one of the recorded terms of the branch.
 
         Args:
-          term: The term in question.
+          term: The term number.
         """
         return any(start.term == term for start in self.starts)
 
     def extended(self, start: TermStart, limit: int = 64) -> "Branch":
-        """Return the branch with a new term, keeping the newest `limit`.
+        """Return the branch with a new term, keeping the newest `limit` terms.
 
         Args:
           start: The start of a term above every term of the branch.
-          limit: How many term starts to keep.
+          limit: The maximum number of term starts to keep.
 
         Raises:
-          ValueError: The term is not above the branch's newest.
+          ValueError: The term is not above the newest term of the branch.
         """
         if start.term <= self.term:
             raise ValueError(f"term {start.term} is not above {self.term}")
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/caller_class_spec.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/caller_class_spec.py
@@ -1,19 +1,20 @@
-"""What operators declare of a class of callers."""
+"""The declaration of a caller class."""
 
 import attrs
 
 
 @attrs.frozen
 class CallerClassSpec:
-    """Limits for the callers that log in as one of some users.
+    """Limits for the callers that log in under certain user names.
 
     Attributes:
       name: The class's name; `default` applies to users of no class.
       users: The user names that belong to the class.
-      weight: The class's share of a busy group beside other classes.
-      max_concurrent: Statements of one caller that may run or wait at once.
-      rate_per_second: Statements per second of one caller; 0 is no limit.
-      burst: Statements that a caller may send at once above the rate.
+      weight: The class's share of a group under contention, relative to other
+        classes.
+      max_concurrent: Statements that one caller may have running or queued.
+      rate_per_second: Statements per second of one caller; 0 means no limit.
+      burst: Statements by which a caller may briefly exceed the rate.
     """
 
     name: str
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/group_row.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/group_row.py
@@ -1,4 +1,4 @@
-"""The durable record of who leads a database group."""
+"""The durable record of a database group's leadership."""
 
 import enum
 
@@ -20,13 +20,13 @@
 
     Attributes:
       group: The group's name.
-      term: The newest term that was claimed.
+      term: The newest claimed term.
       phase: Whether the term is being prepared or is open.
-      primary: The primary's server name; that of the last open term while a
-        new one is being prepared; empty before the first.
-      coordinator: The VM that claimed the term or has taken the group over.
+      primary: The server name of the primary. While a new term is being
+        prepared, the primary of the last open term; empty before the first.
+      coordinator: The VM that claimed the term or took over the group.
       writers: The VMs whose proxies may hold the term lease.
-      branch: The terms that were opened and where each began.
+      branch: The opened terms and the start of each.
     """
 
     group: str
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/outcome.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/outcome.py
@@ -1,4 +1,4 @@
-"""What became of a statement."""
+"""The outcome of a statement."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class NotRunReason(enum.StrEnum):
-    """Why a statement was refused before it could run."""
+    """The reason why a statement was refused before it ran."""
 
     BAD_OPTION = "bad_option"
     UNKNOWN_GROUP = "unknown_group"
@@ -26,10 +26,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Done:
-    """The statement ran and its effect stands.
+    """The statement ran and took effect.
 
     Attributes:
-      position: The log position of its effect, if it wrote.
+      position: The log position of the statement's write, if any.
     """
 
     position: Position | None = None
@@ -40,9 +40,10 @@
     """The statement did not run and never will.
 
     Attributes:
-      reason: Why it was refused.
-      detail: A sentence for people.
-      retry_after_ms: When to try again; None where trying again is no help.
+      reason: Why the statement was refused.
+      detail: A human-readable explanation.
+      retry_after_ms: The delay before a retry, in milliseconds; None if a
+        retry cannot help.
     """
 
     reason: NotRunReason
@@ -70,7 +71,7 @@
     """The statement may or may not have run.
 
     Attributes:
-      detail: A sentence for people.
+      detail: A human-readable explanation.
     """
 
     detail: str = ""
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/position.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/position.py
@@ -1,4 +1,4 @@
-"""A place in a database group's replication log."""
+"""A position in a database group's replication log."""
 
 import attrs
 
@@ -7,10 +7,10 @@
 class Position:
     """A log position: the term that wrote the entry and the entry's offset.
 
-    The order is meaningful between positions of one branch only.
+    Only positions of the same branch can be meaningfully ordered.
 
     Attributes:
-      term: The term under which the entry was written; 0 is before any term.
+      term: The term in which the entry was written; 0 precedes every term.
       offset: The number of log entries up to and including this one.
     """
 
@@ -22,10 +22,10 @@
 
     @classmethod
     def parse(cls, text: str) -> "Position":
-        """Return the position written as `term:offset`.
+        """Return the position in a text of the form `term:offset`.
 
         Args:
-          text: The written form, for example `3:1024`.
+          text: The text, for example `3:1024`.
 
         Raises:
           ValueError: The text is not two non-negative integers.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/server_report.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/server_report.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself."""
+"""The status that a backend server reports."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class ServerRole(enum.StrEnum):
-    """The role that a backend server believes it has."""
+    """The role that a backend server reports for itself."""
 
     PRIMARY = "primary"
     REPLICA = "replica"
@@ -21,8 +21,8 @@
     Attributes:
       server: The server's name.
       term: The highest term that the server was fenced with.
-      role: The role that it believes it has in that term.
-      position: The last log entry that it has applied.
+      role: The role that the server reports for itself in that term.
+      position: The position of the last log entry that the server applied.
       caught_up: Whether a replica had applied everything that the primary had
         when the probe was answered.
     """
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/server_spec.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/server_spec.py
@@ -1,4 +1,4 @@
-"""What operators declare of a backend server."""
+"""The declaration of a backend server."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class ServerState(enum.StrEnum):
-    """Whether a backend server should be used."""
+    """The declared state of a backend server."""
 
     JOINING = "joining"
     SERVING = "serving"
@@ -15,16 +15,16 @@
 
 @attrs.frozen
 class ServerSpec:
-    """A declared backend server.
+    """A backend server declared by operators.
 
     Attributes:
       name: The server's name, unique among all groups.
-      group: The database group that it belongs to.
-      host: An IP address.
-      port: A TCP port.
-      region: The region that it stands in.
-      data_center: The data centre that it stands in.
-      state: Whether it is joining, serving or leaving.
+      group: The server's database group.
+      host: The server's IP address.
+      port: The server's TCP port.
+      region: The server's region.
+      data_center: The server's data centre.
+      state: Whether the server is joining, serving or leaving.
     """
 
     name: str
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/term_start.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/term_start.py
@@ -1,4 +1,4 @@
-"""Where a term began in a database group's replication log."""
+"""The start of a term in a database group's replication log."""
 
 import attrs
 
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/vm.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/values/vm.py
@@ -6,7 +6,7 @@
 
 
 class VmState(enum.StrEnum):
-    """What the platform's list says of a VM."""
+    """The state of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -18,12 +18,12 @@
 
     Attributes:
       name: The VM's name.
-      host: An IP address.
+      host: The VM's IP address.
       peer_port: The TCP port for streams from other proxies.
       operator_port: The TCP port of the resource API.
-      region: The region that it stands in.
-      data_center: The data centre that it stands in.
-      state: Whether it is live or leaving.
+      region: The VM's region.
+      data_center: The VM's data centre.
+      state: Whether the VM is live or leaving.
     """
 
     name: str
