--- a/packages/jackdawcrank-policy/tests/requests/test_request_execution.py
+++ b/packages/jackdawcrank-policy/tests/requests/test_request_execution.py
@@ -20,7 +20,9 @@
 RESULT = RequestResult(affected_rows=3, last_insert_id=9)
 
 
-def lose_at(step: RequestStep, done: bool) -> Callable[..., StatementReply]:
+def lose_connection_at(
+    step: RequestStep, done: bool
+) -> Callable[..., StatementReply]:
     def inject_fault(
         statement: Statement, run: Callable[[], StatementReply]
     ) -> StatementReply:
@@ -74,14 +76,14 @@
     if recorded:
         run_request(database)
     before = database.applied
-    outcome = run_request(database, inject_fault=lose_at(step, done))
+    outcome = run_request(database, inject_fault=lose_connection_at(step, done))
     ran = database.applied - before
     if isinstance(outcome, NotRun | Failed):
         assert ran == 0
     if ran and not isinstance(outcome, Executed):
         assert isinstance(outcome, Unknown)
-    again = run_request(database)
-    assert isinstance(again, Executed)
+    repeated_outcome = run_request(database)
+    assert isinstance(repeated_outcome, Executed)
     assert database.applied == 1
 
 
