--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/request_execution.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/requests/request_execution.py
@@ -45,7 +45,7 @@
 
 
 class RequestStep(enum.Enum):
-    """The steps of an execution, in the order in which they run."""
+    """The steps of an execution; the last three follow a server error."""
 
     BEGIN = "begin"
     INSERT = "insert"
