--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
@@ -130,7 +130,7 @@
       branch: The branch of an open term that is higher than the term of the
         position.
     """
-    if branch.keeps(position):
+    if branch.contains(position):
         return Done(position)
     return NotRun(
         NotRunReason.WRITE_LOST,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/alignment.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/alignment.py
@@ -39,7 +39,7 @@
       position: The last position of a server's log.
       branch: The branch of the open term.
     """
-    if branch.keeps(position):
+    if branch.contains(position):
         return 0
     kept = 0
     for start in branch.starts:
@@ -96,4 +96,6 @@
         report.term == row.term and report.role is ServerRole.REPLICA
     )
     replicates = report.caught_up or report.position.term == row.term
-    return fenced_with_term and replicates and row.branch.keeps(report.position)
+    return (
+        fenced_with_term and replicates and row.branch.contains(report.position)
+    )
