--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/__init__.py
@@ -1,11 +1,11 @@
-"""When a proxy may tell a caller that a write or read stands."""
+"""Rules for acknowledging writes and reads of the primary to a caller."""
 
 from jackdawcrank_policy.acknowledgement.acknowledge import (
     AwaitTerm,
     NeedConfirmation,
     acknowledge,
     acknowledge_read,
-    settle,
+    resolve_write,
 )
 from jackdawcrank_policy.acknowledgement.quorum import Quorum
 
@@ -15,5 +15,5 @@
     "Quorum",
     "acknowledge",
     "acknowledge_read",
-    "settle",
+    "resolve_write",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/acknowledgement/acknowledge.py
@@ -1,4 +1,4 @@
-"""The rule by which a committed write or a primary's read is acknowledged."""
+"""Acknowledgement of committed writes and of reads from the primary."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -17,11 +17,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class NeedConfirmation:
-    """More servers have to confirm the term before an acknowledgement.
+    """More servers have to confirm the term before the acknowledgement.
 
     Attributes:
       servers: The servers that have not been asked yet.
-      count: How many further confirmations are needed.
+      count: The number of further confirmations that are needed.
     """
 
     servers: tuple[str, ...]
@@ -30,13 +30,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class AwaitTerm:
-    """The term was closed; the next one's branch decides.
+    """The term is closed; the branch of a later term determines the outcome.
 
     Attributes:
-      above: Wait for an active row of a term above this one and `settle`.
+      closed_term: The closed term. The caller waits for an active row of a
+        higher term and then calls `resolve_write`.
     """
 
-    above: int
+    closed_term: int
 
 
 def acknowledge(
@@ -48,25 +49,33 @@
     replicas: tuple[str, ...],
     replies: Mapping[str, int | None],
 ) -> Done | NeedConfirmation | AwaitTerm | Unknown:
-    """Decide on a write that the primary has committed.
+    """Decide whether a write that the primary committed is acknowledged.
 
     Args:
       position: The write's position, on the branch of `term`.
-      term: The open term: the position's own, or a later one that `settle`
-        found to keep the position.
-      lease: The state of the proxy's lease on `term` at this moment.
+      term: The open term: the term of the position, or a later one whose
+        branch keeps the position according to `resolve_write`.
+      lease: The current state of the proxy's lease on `term`.
       quorum: The quorum of the group's servers.
-      confirm_always: Whether the group requires confirmations with a lease.
+      confirm_always: Whether the group requires confirmations even while the
+        lease is held.
       replicas: The replicas that can be asked.
-      replies: For each replica asked, its fence term when it held the
-        position, or None if it did not confirm.
+      replies: For each replica that was asked, its fence term at the time
+        when its log contained the position, or None if it did not confirm.
+
+    Returns:
+      `Done` if the write is acknowledged, `NeedConfirmation` if further
+      replicas have to be asked, `AwaitTerm` if the term is closed, or
+      `Unknown` if the remaining replicas cannot form a quorum.
     """
     if lease is LeaseState.CLOSED:
-        return AwaitTerm(above=term)
+        return AwaitTerm(closed_term=term)
     if lease is LeaseState.HELD and not confirm_always:
         return Done(position)
-    verdict = _confirmed(term, quorum.replica_count, replicas, replies)
-    return Done(position) if verdict is None else verdict
+    decision = _check_confirmations(
+        term, quorum.replica_count, replicas, replies
+    )
+    return Done(position) if decision is None else decision
 
 
 def acknowledge_read(
@@ -77,42 +86,51 @@
     replicas: tuple[str, ...],
     replies: Mapping[str, int | None],
 ) -> Done | NeedConfirmation | AwaitTerm | Unknown:
-    """Decide on a read that the primary has answered.
+    """Decide whether a read that the primary answered is acknowledged.
 
-    Without a lease, the primary and enough replicas have to show after the
-    read that no later term has fenced them.
+    Without a held lease, the primary and enough replicas have to confirm
+    after the read that they are not fenced with a later term.
 
     Args:
       term: The term of the primary.
-      lease: The state of the proxy's lease on `term` at this moment.
+      lease: The current state of the proxy's lease on `term`.
       quorum: The quorum of the group's servers.
       primary: The primary's name.
       replicas: The replicas that can be asked.
-      replies: For each server asked after the read, its fence term or None.
+      replies: For each server that was asked after the read, its fence term,
+        or None if it did not confirm.
+
+    Returns:
+      `Done` if the read is acknowledged, `NeedConfirmation` if further
+      servers have to be asked, `AwaitTerm` if the term is closed, or
+      `Unknown` if the term cannot be confirmed.
     """
     if lease is LeaseState.CLOSED:
-        return AwaitTerm(above=term)
+        return AwaitTerm(closed_term=term)
     if lease is LeaseState.HELD:
         return Done()
     if primary in replies and replies[primary] != term:
         return Unknown("the primary did not confirm its term")
     servers = (primary, *replicas)
-    verdict = _confirmed(term, quorum.confirm_count, servers, replies)
-    if verdict is None and primary not in replies:
+    decision = _check_confirmations(
+        term, quorum.confirm_count, servers, replies
+    )
+    if decision is None and primary not in replies:
         return NeedConfirmation((primary,), 1)
-    return Done() if verdict is None else verdict
+    return Done() if decision is None else decision
 
 
-def settle(position: Position, branch: Branch) -> Done | NotRun:
-    """Tell whether the branch of a later term kept a committed write.
+def resolve_write(position: Position, branch: Branch) -> Done | NotRun:
+    """Return whether the branch of a later term keeps a committed write.
 
-    A kept write is acknowledged by `acknowledge` under the later term.
+    A kept write still has to pass `acknowledge` under the later term.
 
     Args:
       position: The write's position.
-      branch: The branch of an open term above the position's.
+      branch: The branch of an open term that is higher than the term of the
+        position.
     """
-    if branch.keeps(position):
+    if branch.contains(position):
         return Done(position)
     return NotRun(
         NotRunReason.WRITE_LOST,
@@ -121,13 +139,13 @@
     )
 
 
-def _confirmed(
+def _check_confirmations(
     term: int,
     needed: int,
     servers: tuple[str, ...],
     replies: Mapping[str, int | None],
 ) -> NeedConfirmation | Unknown | None:
-    """Return None once enough servers confirmed the term."""
+    """Return None if enough servers confirmed the term."""
     confirmed = sum(1 for reply in replies.values() if reply == term)
     if confirmed >= needed:
         return None
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/promotion.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/promotion.py
@@ -1,11 +1,11 @@
-"""The step machine of a promotion."""
+"""State machine of a promotion."""
 
 import enum
 import functools
 
 import attrs
 
-from jackdawcrank_policy.lease import LEASE_CLOSING_SECONDS
+from jackdawcrank_policy.lease import LEASE_WAIT_SECONDS
 from jackdawcrank_policy.promotion.actions import (
     Abandoned,
     AbandonReason,
@@ -45,20 +45,20 @@
     ServerReport,
 )
 
-GRACE_SECONDS = 0.15
+FENCE_GRACE_SECONDS = 0.15
 FENCE_RETRY_SECONDS = 0.25
 OPEN_RETRY_SECONDS = 0.25
 MAX_OPEN_RETRY_SECONDS = 2.0
-CATCH_UP_SECONDS = 2.0
-QUIESCE_SECONDS = 0.1
-TARGET_PROBE_SECONDS = 0.01
+CATCH_UP_TIMEOUT_SECONDS = 2.0
+QUIESCE_TIMEOUT_SECONDS = 0.1
+TARGET_PROBE_INTERVAL_SECONDS = 0.01
 ANNOUNCE_RETRY_SECONDS = 0.1
-ANNOUNCE_TRIES = 5
-DEADLINE_SECONDS = 30.0
+MAX_ANNOUNCE_ATTEMPTS = 5
+PROMOTION_TIMEOUT_SECONDS = 30.0
 
 
 class PromotionStep(enum.Enum):
-    """The steps of a promotion, in their order."""
+    """Steps of a promotion, in the order in which they are taken."""
 
     CLAIMING = "claiming"
     HANDING_OVER = "handing_over"
@@ -72,31 +72,36 @@
 class Promotion:
     """One attempt to open a new term, from the claim to the announcement.
 
-    Call `start` once and `on` for each event; both return the actions to
-    take. The last action is `Finished` or `Abandoned`.
+    Call `start` once and `on` for each event. Both return the actions to
+    execute. The last action is `Finished` or `Abandoned`.
 
-    The claim is a compare-and-set, so one coordinator owns a term. The term
-    opens after a fence quorum holds the claimed term and every lease of an
-    earlier term is closed, by the writers' promises or by time; only then is
-    the most advanced fenced server chosen. A switch-over fences the old
-    primary first and lets its target catch up before the others are fenced.
+    The claim is a compare-and-set, so only one coordinator owns a term. The
+    term is opened after a quorum of servers is fenced with it and every lease
+    of an earlier term is closed, either given up by its writer or expired.
+    Only then is the most advanced fenced server chosen as primary. A
+    switch-over fences the old primary first and lets the target catch up
+    before it fences the other servers.
 
     Attributes:
-      plan: The facts that the promotion started from.
-      step: The step that it is in.
+      plan: The inputs of the promotion.
+      step: The current step.
       claimed: The row that claims the term.
-      opened: The row that opens the term, once the choice is made.
-      fenced: The reports of the fenced servers.
-      failed: Servers that could not be fenced when last tried.
-      given_up: Writers that promised to act no more for earlier terms.
-      leases_closed: Whether every lease of an earlier term has ended.
-      grace_over: Whether servers that are slow to be fenced are left out.
-      waited_long: Whether the servers had as long as leases take to end.
-      final_position: The old primary's last entry, in a switch-over.
-      claimed_at: When the claim was known to stand, in seconds.
-      announce_tries: How often the new primary was told in vain.
-      open_retry_seconds: The pause before the next try to open the term.
-      primary_fence_sent: Whether a switch-over has fenced the old primary.
+      opened: The row that opens the term, once a primary is chosen.
+      fenced: The reports of the fenced servers, by server name.
+      failed: Servers whose last fence request failed.
+      given_up: Writers that gave up their leases on earlier terms.
+      leases_closed: Whether every lease of an earlier term is closed.
+      grace_expired: Whether the grace period for unfenced servers has ended.
+      lease_wait_expired: Whether the wait for the leases of earlier terms
+        to expire has ended. It also bounds the wait for unfenced servers.
+      final_position: The position of the old primary after it was fenced, in
+        a switch-over.
+      claimed_at: When the store confirmed the claim, in seconds.
+      failed_announcements: The number of announcements that the new primary
+        refused or did not answer.
+      open_retry_seconds: The delay before the next attempt to open the term.
+      primary_fence_sent: Whether a switch-over has requested the fence of the
+        old primary.
     """
 
     plan: PromotionPlan
@@ -107,11 +112,11 @@
     failed: set[str] = attrs.field(factory=set)
     given_up: set[str] = attrs.field(factory=set)
     leases_closed: bool = False
-    grace_over: bool = False
-    waited_long: bool = False
+    grace_expired: bool = False
+    lease_wait_expired: bool = False
     final_position: Position | None = None
     claimed_at: float = 0.0
-    announce_tries: int = 0
+    failed_announcements: int = 0
     open_retry_seconds: float = OPEN_RETRY_SECONDS
     primary_fence_sent: bool = False
 
@@ -121,23 +126,26 @@
         return self.claimed.term if self.claimed else 0
 
     def start(self, now: float) -> list[Action]:
-        """Return the first action, the claim.
+        """Return the first action, the claim of the term.
 
         Args:
-          now: The present time, in seconds.
+          now: The current time, in seconds.
         """
         row = self.plan.claimed_row()
         return [ClaimTerm(self.plan.expected, row)]
 
     @functools.singledispatchmethod
     def on(self, event: Event, now: float) -> list[Action]:
-        """Return the actions that an event calls for.
+        """Process an event and return the actions to execute.
 
         Args:
-          event: What happened.
-          now: The present time, in seconds.
+          event: The event.
+          now: The current time, in seconds.
+
+        Raises:
+          TypeError: If the event is not one of a promotion.
         """
-        raise TypeError(f"not an event of a promotion: {event!r}")
+        raise TypeError(f"unsupported promotion event: {event!r}")
 
     @on.register
     def _(self, event: Claimed, now: float) -> list[Action]:
@@ -149,14 +157,20 @@
         actions: list[Action] = [
             AskGiveUp(vm, self.term) for vm in self.plan.old_writers
         ]
-        actions.append(SetTimer(Timer.LEASES, self.leases_out_at(now)))
-        actions.append(SetTimer(Timer.DEADLINE, now + DEADLINE_SECONDS))
+        actions.append(SetTimer(Timer.LEASES, self.leases_expire_at(now)))
+        actions.append(
+            SetTimer(Timer.DEADLINE, now + PROMOTION_TIMEOUT_SECONDS)
+        )
         if self.plan.cause is PromotionCause.SWITCH_OVER:
             self.step = PromotionStep.HANDING_OVER
-            actions.append(SetTimer(Timer.QUIESCE, now + QUIESCE_SECONDS))
-            actions.append(SetTimer(Timer.CATCH_UP, now + CATCH_UP_SECONDS))
+            actions.append(
+                SetTimer(Timer.QUIESCE, now + QUIESCE_TIMEOUT_SECONDS)
+            )
+            actions.append(
+                SetTimer(Timer.CATCH_UP, now + CATCH_UP_TIMEOUT_SECONDS)
+            )
             return actions
-        return actions + self.fence_others()
+        return actions + self.fence_remaining_servers()
 
     @on.register
     def _(self, event: ClaimConflict, now: float) -> list[Action]:
@@ -179,14 +193,21 @@
     @on.register
     def _(self, event: LeaseGivenUp, now: float) -> list[Action]:
         self.given_up.add(event.vm)
-        return self.fence_moved_primary() + self.close_leases(now)
+        return self.fence_old_primary() + self.close_leases(now)
 
     def close_leases(self, now: float) -> list[Action]:
-        """Take the leases for closed once every writer gave up."""
-        if self.leases_closed or not self.all_gave_up():
+        """Close the leases once every writer has given up its own.
+
+        The leases of removed writers, which are not asked, have to expire
+        first.
+        """
+        if self.leases_closed or not self.all_leases_given_up():
             return []
-        if now < self.plan.quick_from:
-            at = min(self.plan.quick_from, self.leases_out_at(self.claimed_at))
+        if now < self.plan.removed_writers_expire_at:
+            at = min(
+                self.plan.removed_writers_expire_at,
+                self.leases_expire_at(self.claimed_at),
+            )
             return [SetTimer(Timer.LEASES, at)]
         self.leases_closed = True
         return self.open_if_ready(now)
@@ -208,25 +229,25 @@
         if self.step is not PromotionStep.CLOSING:
             return []
         if len(self.fenced) == self.plan.quorum.fence_count:
-            timer = SetTimer(Timer.GRACE, now + GRACE_SECONDS)
+            timer = SetTimer(Timer.GRACE, now + FENCE_GRACE_SECONDS)
             return [timer, *self.open_if_ready(now)]
         return self.open_if_ready(now)
 
     @on.register
     def _(self, event: FenceRefused, now: float) -> list[Action]:
-        return self.miss(event.server, now)
+        return self.record_server_failure(event.server, now)
 
     @on.register
     def _(self, event: Unreachable, now: float) -> list[Action]:
-        return self.miss(event.server, now)
+        return self.record_server_failure(event.server, now)
 
     @on.register
     def _(self, event: Probed, now: float) -> list[Action]:
         if self.step is not PromotionStep.HANDING_OVER:
             return []
         if event.report.position == self.final_position:
-            return self.fence_others()
-        return [SetTimer(Timer.PROBE, now + TARGET_PROBE_SECONDS)]
+            return self.fence_remaining_servers()
+        return [SetTimer(Timer.PROBE, now + TARGET_PROBE_INTERVAL_SECONDS)]
 
     @on.register
     def _(self, event: Opened, now: float) -> list[Action]:
@@ -258,8 +279,8 @@
         assert self.opened is not None
         if event.server != self.opened.primary:
             return []
-        self.announce_tries += 1
-        if self.announce_tries >= ANNOUNCE_TRIES:
+        self.failed_announcements += 1
+        if self.failed_announcements >= MAX_ANNOUNCE_ATTEMPTS:
             return self.finish(announced=False)
         return [SetTimer(Timer.ANNOUNCE_RETRY, now + ANNOUNCE_RETRY_SECONDS)]
 
@@ -268,17 +289,17 @@
         match event.timer:
             case Timer.LEASES:
                 self.leases_closed = True
-                self.waited_long = True
+                self.lease_wait_expired = True
                 return self.open_if_ready(now)
             case Timer.GRACE:
-                self.grace_over = True
+                self.grace_expired = True
                 return self.open_if_ready(now)
             case Timer.FENCE_RETRY:
                 return self.retry_fences()
             case Timer.QUIESCE:
-                return self.fence_moved_primary(waited=True)
+                return self.fence_old_primary(waited=True)
             case Timer.CATCH_UP if self.step is PromotionStep.HANDING_OVER:
-                return self.fence_others()
+                return self.fence_remaining_servers()
             case Timer.PROBE if self.step is PromotionStep.HANDING_OVER:
                 assert self.plan.target is not None
                 return [ProbeServer(self.plan.target)]
@@ -292,38 +313,39 @@
                 PromotionStep.HANDING_OVER,
                 PromotionStep.CLOSING,
             ):
-                return self.abandon(self.shortage(), self.claimed)
+                return self.abandon(self.failure_reason(), self.claimed)
         return []
 
-    def leases_out_at(self, claimed_at: float) -> float:
-        """Return when time alone has closed the leases of earlier terms."""
-        if self.plan.leases_out_at is not None:
-            return self.plan.leases_out_at
-        return claimed_at + LEASE_CLOSING_SECONDS
+    def leases_expire_at(self, claimed_at: float) -> float:
+        """Return when all leases of earlier terms have expired, in seconds."""
+        if self.plan.leases_expire_at is not None:
+            return self.plan.leases_expire_at
+        return claimed_at + LEASE_WAIT_SECONDS
 
-    def all_gave_up(self) -> bool:
-        """Return whether every earlier writer promised to act no more."""
+    def all_leases_given_up(self) -> bool:
+        """Return whether every writer of the earlier term gave up its lease."""
         return self.given_up.issuperset(self.plan.old_writers)
 
-    def fence_moved_primary(self, waited: bool = False) -> list[Action]:
-        """Fence the primary of a switch-over once nothing runs on it.
+    def fence_old_primary(self, waited: bool = False) -> list[Action]:
+        """Fence the old primary of a switch-over if the writers are ready.
 
-        A writer promises after what it had under way has ended, so promises
-        of all writers say that nothing is rolled back by the fence.
+        A writer confirms that it gave up its lease after its work in progress
+        has ended or its own wait limit has passed. Once all writers have
+        confirmed, the fence rolls back only work that outlasted that limit.
 
         Args:
-          waited: Whether the writers had their time.
+          waited: Whether the wait for the writers has timed out.
         """
         moving = self.step is PromotionStep.HANDING_OVER
         if not moving or self.primary_fence_sent:
             return []
-        if not waited and not self.all_gave_up():
+        if not waited and not self.all_leases_given_up():
             return []
         self.primary_fence_sent = True
-        return [FenceServer(self.term_primary(), self.term)]
+        return [FenceServer(self.old_primary(), self.term)]
 
-    def fence_others(self) -> list[Action]:
-        """Enter the closing step and fence the servers not yet fenced."""
+    def fence_remaining_servers(self) -> list[Action]:
+        """Enter the closing step and fence all servers not fenced yet."""
         self.step = PromotionStep.CLOSING
         return [
             FenceServer(server, self.term)
@@ -332,19 +354,21 @@
         ]
 
     def retry_fences(self) -> list[Action]:
-        """Fence the servers again that could not be fenced."""
+        """Retry fencing the servers whose last fence request failed."""
         if self.step is not PromotionStep.CLOSING:
             return []
         servers = sorted(self.failed)
         self.failed.clear()
         return [FenceServer(server, self.term) for server in servers]
 
-    def miss(self, server: str, now: float) -> list[Action]:
-        """Note a server that could not be fenced or probed."""
+    def record_server_failure(self, server: str, now: float) -> list[Action]:
+        """Handle a server that could not be fenced or probed."""
         if self.step is PromotionStep.HANDING_OVER:
             if server == self.plan.target and self.final_position is not None:
-                return [SetTimer(Timer.PROBE, now + TARGET_PROBE_SECONDS)]
-            return self.fence_others()
+                return [
+                    SetTimer(Timer.PROBE, now + TARGET_PROBE_INTERVAL_SECONDS)
+                ]
+            return self.fence_remaining_servers()
         if self.step is not PromotionStep.CLOSING:
             return []
         self.failed.add(server)
@@ -352,10 +376,15 @@
         return [retry, *self.open_if_ready(now)]
 
     def open_if_ready(self, now: float) -> list[Action]:
-        """Choose and open once nothing can be acknowledged any more."""
+        """Choose a primary and open the term if its conditions are met.
+
+        The leases of earlier terms have to be closed and a quorum of servers
+        fenced, so that no write of an earlier term can be acknowledged after
+        the choice.
+        """
         if self.step is not PromotionStep.CLOSING or not self.leases_closed:
             return []
-        if not (self.has_quorum() and self.has_waited()):
+        if not (self.has_quorum() and self.is_fence_wait_over()):
             return []
         chosen = choose_primary(
             self.fenced.values(),
@@ -384,38 +413,38 @@
         if len(self.fenced) >= self.plan.quorum.fence_count:
             return True
         forced = self.plan.cause is PromotionCause.FORCED
-        return forced and bool(self.fenced) and self.waited_long
+        return forced and bool(self.fenced) and self.lease_wait_expired
 
-    def has_waited(self) -> bool:
-        """Return whether the servers not fenced have had their chance."""
-        if self.grace_over or self.waited_long:
+    def is_fence_wait_over(self) -> bool:
+        """Return whether the wait for further servers to be fenced is over."""
+        if self.grace_expired or self.lease_wait_expired:
             return True
         if self.plan.cause is PromotionCause.SWITCH_OVER:
             return self.plan.target in self.fenced
         awaited = set(self.plan.servers) - self.fenced.keys() - self.failed
         if self.plan.cause is PromotionCause.FAILURE:
-            awaited.discard(self.term_primary())
+            awaited.discard(self.old_primary())
         return not awaited
 
-    def term_primary(self) -> str:
+    def old_primary(self) -> str:
         """Return the primary of the last open term."""
         return self.claimed.primary if self.claimed else ""
 
-    def shortage(self) -> AbandonReason:
-        """Return why the term could not be opened."""
+    def failure_reason(self) -> AbandonReason:
+        """Return the reason for which the term could not be opened in time."""
         if self.has_quorum():
             return AbandonReason.NO_CANDIDATE
         return AbandonReason.TOO_FEW_SERVERS
 
     def announce(self, row: GroupRow) -> list[Action]:
-        """Tell the new primary first, then the other fenced servers."""
+        """Announce the open term, first to its primary, then to the others."""
         self.step = PromotionStep.ANNOUNCING
         self.opened = row
         others = sorted(self.fenced.keys() - {row.primary})
         return [self.announcement(name) for name in (row.primary, *others)]
 
     def announcement(self, server: str) -> AnnouncePrimary:
-        """Return the action that tells a server of the open term."""
+        """Return the action that announces the open term to a server."""
         assert self.opened is not None
         start = self.opened.branch.starts[-1]
         return AnnouncePrimary(
@@ -423,7 +452,7 @@
         )
 
     def finish(self, announced: bool) -> list[Action]:
-        """End with an open term."""
+        """End the promotion with an open term."""
         assert self.opened is not None
         self.step = PromotionStep.OVER
         return [Finished(self.opened, announced)]
@@ -431,6 +460,6 @@
     def abandon(
         self, reason: AbandonReason, current: GroupRow | None = None
     ) -> list[Action]:
-        """End without an open term."""
+        """End the promotion without an open term."""
         self.step = PromotionStep.OVER
         return [Abandoned(reason, current)]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/token_signer.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/tokens/token_signer.py
@@ -5,7 +5,7 @@
 import hashlib
 import hmac
 
-from jackdawcrank_policy.tokens.forged_token import ForgedToken
+from jackdawcrank_policy.tokens.invalid_token import InvalidToken
 from jackdawcrank_policy.tokens.session_token import MAX_GROUPS, SessionToken
 from jackdawcrank_policy.values import Position
 
@@ -15,17 +15,17 @@
 MAC_BYTES = 16
 GROUP_KEY_BYTES = 8
 MIN_KEY_BYTES = 16
-# Lengths in bytes that keep MAX_GROUPS entries within the limit.
+# Field widths in bytes. MAX_GROUPS entries fit in MAX_TOKEN_CHARACTERS.
 TERM_BYTES = 4
 OFFSET_BYTES = 8
 
 
 class TokenSigner:
-    """Signs session tokens and reads them back.
+    """Signs and verifies session tokens.
 
-    The first key signs; every key verifies, so that a new key is first added
-    at the end on every proxy, then moved to the front, and the old one is
-    removed when its tokens are no longer in use.
+    The first key signs and every key verifies. To rotate keys, append the new
+    key on every proxy, then move it to the front, and remove the old key when
+    the tokens that it signed are no longer in use.
 
     Attributes:
       keys: The secret keys, each of at least 16 bytes.
@@ -43,26 +43,26 @@
         mac = compute_mac(key, payload)
         return base64.urlsafe_b64encode(payload + mac).rstrip(b"=").decode()
 
-    def verify(self, text: str) -> SessionToken | ForgedToken:
-        """Return the token written as text, or why it is not to be trusted.
+    def verify(self, text: str) -> SessionToken | InvalidToken:
+        """Return the decoded token, or the reason why it is invalid.
 
         Args:
-          text: What a caller gave as its token.
+          text: The token text sent by a caller.
         """
         if len(text) > MAX_TOKEN_CHARACTERS:
-            return ForgedToken("the token is too long")
-        data = decode_text(text)
+            return InvalidToken("the token is too long")
+        data = decode_base64(text)
         if data is None or len(data) < HEADER_BYTES + MAC_BYTES:
-            return ForgedToken("the token is malformed")
+            return InvalidToken("the token is malformed")
         payload, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-        if not self.signed(payload, mac):
-            return ForgedToken("the signature does not match")
+        if not self.has_valid_mac(payload, mac):
+            return InvalidToken("the signature does not match")
         if payload[0] != TOKEN_VERSION:
-            return ForgedToken(f"unknown token version {payload[0]}")
+            return InvalidToken(f"unknown token version {payload[0]}")
         return decode_entries(payload[HEADER_BYTES:])
 
-    def signed(self, payload: bytes, mac: bytes) -> bool:
-        """Return whether one of the keys made the code of a payload."""
+    def has_valid_mac(self, payload: bytes, mac: bytes) -> bool:
+        """Return whether the MAC of a payload was made with one of the keys."""
         return any(
             hmac.compare_digest(compute_mac(key, payload), mac)
             for key in self.keys
@@ -71,7 +71,7 @@
 
 
 def key_id(key: bytes) -> int:
-    """Return the byte that tells which key may have signed a token."""
+    """Return the one-byte hint of a signing key; keys may share a hint."""
     return hashlib.sha256(b"jackdawcrank key id" + key).digest()[0]
 
 
@@ -80,8 +80,8 @@
     return hmac.new(key, payload, hashlib.sha256).digest()[:MAC_BYTES]
 
 
-def decode_text(text: str) -> bytes | None:
-    """Return the bytes of URL-safe text; None if it is malformed."""
+def decode_base64(text: str) -> bytes | None:
+    """Return the bytes of URL-safe base64; None if it is malformed."""
     padding = "=" * (-len(text) % 4)
     try:
         return base64.b64decode(text + padding, altchars=b"-_", validate=True)
@@ -95,15 +95,15 @@
         key.to_bytes(GROUP_KEY_BYTES)
         + position.term.to_bytes(TERM_BYTES)
         + position.offset.to_bytes(OFFSET_BYTES)
-        for key, position in token.seen
+        for key, position in token.entries
     )
 
 
-def decode_entries(body: bytes) -> SessionToken | ForgedToken:
-    """Return the token whose entries are the records in a signed body."""
+def decode_entries(body: bytes) -> SessionToken | InvalidToken:
+    """Return the token encoded in a body whose signature was verified."""
     size = GROUP_KEY_BYTES + TERM_BYTES + OFFSET_BYTES
     if len(body) % size or len(body) > MAX_GROUPS * size:
-        return ForgedToken("the token has a wrong length")
+        return InvalidToken("the token has a wrong length")
     records = [body[i : i + size] for i in range(0, len(body), size)]
     return SessionToken(tuple(decode_entry(record) for record in records))
 
--- a/packages/jackdawcrank-policy/tests/requests/conftest.py
+++ b/packages/jackdawcrank-policy/tests/requests/conftest.py
@@ -1,4 +1,4 @@
-"""A backend server reduced to its request table and one counter."""
+"""A fake backend server with a request table and a commit counter."""
 
 import functools
 from collections.abc import Callable
@@ -15,16 +15,19 @@
     StatementReply,
     digest_statement,
 )
-from jackdawcrank_policy.requests.request_execution import Finish, RequestStep
+from jackdawcrank_policy.requests.request_execution import (
+    ExecutionOutcome,
+    RequestStep,
+)
 from jackdawcrank_policy.values import Position
 
 
 @attrs.define
-class Database:
-    """Runs the statements of executions.
+class FakeDatabase:
+    """Runs the statements of request executions.
 
     Attributes:
-      applied: How often the write has been committed.
+      applied: The number of times that the write was committed.
       records: The committed request records.
       has_table: Whether the request table exists.
     """
@@ -62,38 +65,40 @@
         return StatementDone()
 
 
-Interfere = Callable[[Statement, Callable[[], StatementReply]], StatementReply]
+FaultInjector = Callable[
+    [Statement, Callable[[], StatementReply]], StatementReply
+]
 
 
-def straight(
+def run_unchanged(
     statement: Statement, run: Callable[[], StatementReply]
 ) -> StatementReply:
     return run()
 
 
 def execute(
-    database: Database,
+    database: FakeDatabase,
     sql: str = "UPDATE plots SET certified = 1",
-    interfere: Interfere = straight,
-) -> Finish:
-    """Run one execution to its end; a lost connection rolls back."""
+    inject_fault: FaultInjector = run_unchanged,
+) -> ExecutionOutcome:
+    """Run one execution to its outcome; a lost connection rolls back."""
     execution = RequestExecution("r-1", digest_statement(sql), sql, 1000)
     open_records: dict[str, list[object]] = {}
-    following: Statement | Finish = execution.start()
-    while isinstance(following, Statement):
-        run = functools.partial(database.run, following, open_records)
-        reply = interfere(following, run)
+    next_step: Statement | ExecutionOutcome = execution.start()
+    while isinstance(next_step, Statement):
+        run = functools.partial(database.run, next_step, open_records)
+        reply = inject_fault(next_step, run)
         if isinstance(reply, ConnectionLost):
             open_records = {}
-        following = execution.on(reply)
-    return following
+        next_step = execution.on_reply(reply)
+    return next_step
 
 
 @pytest.fixture
-def database() -> Database:
-    return Database()
+def database() -> FakeDatabase:
+    return FakeDatabase()
 
 
 @pytest.fixture
-def run_request() -> Callable[..., Finish]:
+def run_request() -> Callable[..., ExecutionOutcome]:
     return execute
