--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/__init__.py
@@ -1,20 +1,23 @@
 """Waiting for a scarce thing, by priority."""
 
-from jackdawcrank_policy.waiting.patience import (
-    STANDING_SHARE,
-    Patience,
+from jackdawcrank_policy.waiting.congestion_window import CongestionWindow
+from jackdawcrank_policy.waiting.overload_detector import (
+    OVERLOAD_WAIT_SHARE,
+    OverloadDetector,
     WaitLimits,
 )
-from jackdawcrank_policy.waiting.turn import Turn
-from jackdawcrank_policy.waiting.waiting_line import Place, WaitingLine
-from jackdawcrank_policy.waiting.window import Window
+from jackdawcrank_policy.waiting.priority_wait_queue import (
+    PriorityWaitQueue,
+    WaitEntry,
+)
+from jackdawcrank_policy.waiting.wait_estimator import WaitEstimator
 
 __all__ = [
-    "STANDING_SHARE",
-    "Patience",
-    "Place",
-    "Turn",
+    "OVERLOAD_WAIT_SHARE",
+    "OverloadDetector",
+    "WaitEntry",
+    "WaitEstimator",
     "WaitLimits",
-    "WaitingLine",
-    "Window",
+    "PriorityWaitQueue",
+    "CongestionWindow",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/window.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/congestion_window.py
@@ -9,26 +9,26 @@
 
 # A window shrinks by this factor when the server refuses: quicker than it
 # grows, as with congestion control.
-SHRINK = 0.7
+DECREASE_FACTOR = 0.7
 # One more statement after about a window of answers divided by this.
-GROWTH = 0.2
+INCREASE_STEP = 0.2
 # Refusals of one queue overflow come together and count once.
-REFUSAL_SECONDS = 0.1
+DECREASE_INTERVAL_SECONDS = 0.1
 
 
 @attrs.define
-class Window:
+class CongestionWindow:
     """The statements that may be under way at one server.
 
     Attributes:
       size: How many; it may lie between two whole numbers.
-      most: The greatest size.
-      shrunk_at: When it last shrank, in seconds.
+      max_size: The greatest size.
+      decreased_at: When it last shrank, in seconds.
     """
 
     size: float
-    most: float
-    shrunk_at: float = float("-inf")
+    max_size: float
+    decreased_at: float = float("-inf")
 
     def admits(self, under_way: int) -> bool:
         """Return whether another statement may be sent.
@@ -40,7 +40,9 @@
 
     def answered(self) -> None:
         """Take in an answer."""
-        self.size = min(self.most, self.size + GROWTH / max(1.0, self.size))
+        self.size = min(
+            self.max_size, self.size + INCREASE_STEP / max(1.0, self.size)
+        )
 
     def refused(self, now: float) -> None:
         """Take in that the server was full.
@@ -48,6 +50,6 @@
         Args:
           now: The current time in seconds.
         """
-        if now - self.shrunk_at >= REFUSAL_SECONDS:
-            self.size = max(1.0, self.size * SHRINK)
-            self.shrunk_at = now
+        if now - self.decreased_at >= DECREASE_INTERVAL_SECONDS:
+            self.size = max(1.0, self.size * DECREASE_FACTOR)
+            self.decreased_at = now
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/patience.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/overload_detector.py
@@ -11,9 +11,9 @@
 
 # The users' bursts are worked off in about the aim of an operation (0.4 to
 # 1 s); a line that has not been empty for longer is no burst.
-STANDING_SECONDS = 0.5
+OVERLOAD_AFTER_SECONDS = 0.5
 # Of a statement's time (0.8 to 3 s); three more tries fit in the rest.
-STANDING_SHARE = 0.25
+OVERLOAD_WAIT_SHARE = 0.25
 
 
 @attrs.frozen
@@ -22,27 +22,29 @@
 
     Attributes:
       priority: 0 goes first.
-      latest: When it must have been sent; seconds on a monotonic clock.
-      early: When it must have been sent if the line is standing.
+      deadline: When it must have been sent; seconds on a monotonic clock.
+      overload_deadline: When it must have been sent if the line is standing.
     """
 
     priority: int
-    latest: float
-    early: float
+    deadline: float
+    overload_deadline: float
 
 
 @attrs.define
-class Patience:
+class OverloadDetector:
     """Tells a line that stands from one that a burst has left.
 
     Attributes:
-      busy_since: Since when newcomers have found somebody waiting; None if
+      nonempty_since: Since when newcomers have found somebody waiting; None if
         the latest one did not.
     """
 
-    busy_since: float | None = None
+    nonempty_since: float | None = None
 
-    def give_up_at(self, now: float, waiting: int, limits: WaitLimits) -> float:
+    def wait_deadline(
+        self, now: float, waiting: int, limits: WaitLimits
+    ) -> float:
         """Return until when a newcomer should wait.
 
         Args:
@@ -51,23 +53,27 @@
           limits: How the newcomer may wait.
         """
         if not waiting:
-            self.busy_since = None
-        elif self.busy_since is None:
-            self.busy_since = now
-        return limits.early if self.standing(now) else limits.latest
-
-    def standing(self, now: float) -> bool:
+            self.nonempty_since = None
+        elif self.nonempty_since is None:
+            self.nonempty_since = now
+        return (
+            limits.overload_deadline
+            if self.is_overloaded(now)
+            else limits.deadline
+        )
+
+    def is_overloaded(self, now: float) -> bool:
         """Return whether the line has not been empty for long.
 
         Args:
           now: The current time in seconds.
         """
-        return self.busy_for(now) >= STANDING_SECONDS
+        return self.nonempty_seconds(now) >= OVERLOAD_AFTER_SECONDS
 
-    def busy_for(self, now: float) -> float:
+    def nonempty_seconds(self, now: float) -> float:
         """Return for how long newcomers have found somebody waiting.
 
         Args:
           now: The current time in seconds.
         """
-        return 0.0 if self.busy_since is None else now - self.busy_since
+        return 0.0 if self.nonempty_since is None else now - self.nonempty_since
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/waiting_line.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/priority_wait_queue.py
@@ -10,7 +10,7 @@
 
 
 @attrs.define(eq=False)
-class Place(typing.Generic[T]):
+class WaitEntry(typing.Generic[T]):
     """One place in a line.
 
     Attributes:
@@ -18,21 +18,21 @@
       deadline: When waiting on is no use; seconds on a monotonic clock.
       number: Orders places of one priority by arrival.
       item: Who waits.
-      left: Whether the place was given up.
+      removed: Whether the place was given up.
     """
 
     priority: int
     deadline: float
     number: int
     item: T
-    left: bool = False
+    removed: bool = False
 
-    def __lt__(self, other: "Place[T]") -> bool:
+    def __lt__(self, other: "WaitEntry[T]") -> bool:
         return (self.priority, self.number) < (other.priority, other.number)
 
 
 @attrs.define
-class WaitingLine(typing.Generic[T]):
+class PriorityWaitQueue(typing.Generic[T]):
     """Statements that wait for a connection of one server.
 
     Answers the load of a burst or of a slow server: the more urgent kind goes
@@ -44,11 +44,11 @@
       length: Places that are not given up.
     """
 
-    heap: list[Place[T]] = attrs.Factory(list)
+    heap: list[WaitEntry[T]] = attrs.Factory(list)
     numbers: typing.Iterator[int] = attrs.Factory(itertools.count)
     length: int = 0
 
-    def join(self, priority: int, deadline: float, item: T) -> Place[T]:
+    def enqueue(self, priority: int, deadline: float, item: T) -> WaitEntry[T]:
         """Take a place at the end of a priority.
 
         Args:
@@ -56,10 +56,10 @@
           deadline: When waiting on is no use, in seconds.
           item: Who waits.
         """
-        place = Place(priority, deadline, next(self.numbers), item)
-        heapq.heappush(self.heap, place)
+        entry = WaitEntry(priority, deadline, next(self.numbers), item)
+        heapq.heappush(self.heap, entry)
         self.length += 1
-        return place
+        return entry
 
     def ahead_of(self, priority: int) -> int:
         """Return how many would be served before a newcomer.
@@ -68,40 +68,41 @@
           priority: The newcomer's.
         """
         return sum(
-            not place.left and place.priority <= priority for place in self.heap
+            not entry.removed and entry.priority <= priority
+            for entry in self.heap
         )
 
-    def leave(self, place: Place[T]) -> None:
+    def cancel(self, entry: WaitEntry[T]) -> None:
         """Give a place up.
 
         Args:
-          place: The place.
+          entry: The place.
         """
-        if not place.left:
-            place.left = True
+        if not entry.removed:
+            entry.removed = True
             self.length -= 1
 
-    def pop(self, now: float) -> Place[T] | None:
+    def pop(self, now: float) -> WaitEntry[T] | None:
         """Return who comes next and may still be served, or None.
 
         Args:
           now: The current time in seconds.
         """
         while self.heap:
-            place = heapq.heappop(self.heap)
-            if place.left:
+            entry = heapq.heappop(self.heap)
+            if entry.removed:
                 continue
-            place.left = True
+            entry.removed = True
             self.length -= 1
-            if place.deadline > now:
-                return place
+            if entry.deadline > now:
+                return entry
         return None
 
     def clear(self) -> list[T]:
         """Empty the line and return everybody who waited."""
-        items = [place.item for place in self.heap if not place.left]
-        for place in self.heap:
-            place.left = True
+        items = [entry.item for entry in self.heap if not entry.removed]
+        for entry in self.heap:
+            entry.removed = True
         self.heap.clear()
         self.length = 0
         return items
--- a/packages/jackdawcrank-policy/tests/waiting/test_window.py
+++ b/packages/jackdawcrank-policy/tests/waiting/test_congestion_window.py
@@ -1,10 +1,10 @@
 import random
 
-from jackdawcrank_policy.waiting import Window
+from jackdawcrank_policy.waiting import CongestionWindow
 
 
 def test_at_least_one_statement_is_always_admitted() -> None:
-    window = Window(2.0, 8.0)
+    window = CongestionWindow(2.0, 8.0)
     for second in range(50):
         window.refused(float(second))
     assert window.size == 1.0
@@ -12,20 +12,20 @@
 
 
 def test_refusals_of_one_overflow_count_once() -> None:
-    window = Window(8.0, 8.0)
+    window = CongestionWindow(8.0, 8.0)
     for step in range(10):
         window.refused(1.0 + step / 1000)
     assert window.size > 5.0
 
 
-def test_answers_open_it_up_to_the_most() -> None:
-    window = Window(1.0, 4.0)
+def test_answers_grow_window_to_max_size() -> None:
+    window = CongestionWindow(1.0, 4.0)
     for _ in range(200):
         window.answered()
     assert window.size == 4.0
 
 
-def play(limited: bool) -> tuple[float, float]:
+def simulate(limited: bool) -> tuple[float, float]:
     """Play ten homes before a server with 6 slots and a queue of 48.
 
     Each home has more to send than the server can do; a refused statement is
@@ -36,7 +36,9 @@
       server's slots that worked.
     """
     rng = random.Random(5)
-    windows = [Window(2.0 if limited else 16.0, 16.0) for _ in range(10)]
+    windows = [
+        CongestionWindow(2.0 if limited else 16.0, 16.0) for _ in range(10)
+    ]
     under_way = [0] * 10
     paused_until = [0.0] * 10
     queue: list[int] = []
@@ -71,7 +73,7 @@
     return refused / served, busy / now
 
 
-def test_full_server_is_kept_busy_without_being_refused_all_the_time() -> None:
-    refusals, busy = play(limited=True)
+def test_full_server_stays_busy_with_few_refusals() -> None:
+    refusals, busy = simulate(limited=True)
     assert busy >= 0.95
-    assert refusals <= play(limited=False)[0] / 4
+    assert refusals <= simulate(limited=False)[0] / 4
--- a/packages/jackdawcrank-policy/tests/waiting/test_turn.py
+++ b/packages/jackdawcrank-policy/tests/waiting/test_wait_estimator.py
@@ -1,30 +1,30 @@
 import heapq
 import math
 
-from jackdawcrank_policy.waiting import Turn, WaitingLine
+from jackdawcrank_policy.waiting import PriorityWaitQueue, WaitEstimator
 
 
-def test_wait_grows_with_the_line_and_shrinks_with_connections() -> None:
-    turn = Turn(0.1)
-    assert math.isclose(turn.wait_seconds(0, 1), 0.1)
-    assert math.isclose(turn.wait_seconds(5, 3), 0.2)
+def test_wait_grows_with_queue_and_shrinks_with_connections() -> None:
+    estimator = WaitEstimator(0.1)
+    assert math.isclose(estimator.wait_seconds(0, 1), 0.1)
+    assert math.isclose(estimator.wait_seconds(5, 3), 0.2)
 
 
-def test_loans_are_smoothed() -> None:
-    turn = Turn(0.1)
-    turn.ended(1.1)
-    assert 0.15 < turn.loan_seconds < 0.25
+def test_hold_times_are_smoothed() -> None:
+    estimator = WaitEstimator(0.1)
+    estimator.record_hold(1.1)
+    assert 0.15 < estimator.hold_seconds < 0.25
 
 
-def play(rate: float, refuse: bool) -> tuple[float, float, float]:
+def simulate(rate: float, refuse: bool) -> tuple[float, float, float]:
     """Play statements of 100 ms over three connections.
 
     Returns:
       The share that had its answer within the second that each may take, the
       share of the urgent tenth that had, and the mean time until a refusal.
     """
-    turn = Turn(0.1)
-    line: WaitingLine[int] = WaitingLine()
+    estimator = WaitEstimator(0.1)
+    queue: PriorityWaitQueue[int] = PriorityWaitQueue()
     ends: list[float] = []
     served = urgent_served = urgent = count = 0
     refusals: list[float] = []
@@ -38,10 +38,10 @@
     def free_until(now: float) -> None:
         while ends and ends[0] <= now:
             end = heapq.heappop(ends)
-            turn.ended(0.1)
-            place = line.pop(end)
-            if place is not None:
-                begin(place.item, end)
+            estimator.record_hold(0.1)
+            entry = queue.pop(end)
+            if entry is not None:
+                begin(entry.item, end)
 
     for number, now in enumerate(arrivals):
         free_until(now)
@@ -52,11 +52,12 @@
             begin(number, now)
         elif (
             refuse
-            and now + turn.wait_seconds(line.ahead_of(priority), 3) >= now + 0.9
+            and now + estimator.wait_seconds(queue.ahead_of(priority), 3)
+            >= now + 0.9
         ):
             refusals.append(0.0)
         else:
-            line.join(priority, now + 0.9, number)
+            queue.enqueue(priority, now + 0.9, number)
     free_until(20.0)
     for number, now in enumerate(arrivals):
         in_time = number in started and started[number] + 0.1 <= now + 1.0
@@ -67,19 +68,19 @@
     return served / count, urgent_served / urgent, mean
 
 
-def test_load_below_the_capacity_is_served_whole() -> None:
-    assert play(rate=28.0, refuse=True) == (1.0, 1.0, 0.0)
+def test_load_below_capacity_is_served_completely() -> None:
+    assert simulate(rate=28.0, refuse=True) == (1.0, 1.0, 0.0)
 
 
-def test_twice_the_capacity_serves_the_capacity_and_refuses_at_once() -> None:
+def test_double_load_is_served_to_capacity_and_refused_at_once() -> None:
     # Three connections do 30 a second; 60 come.
-    served, urgent, refused_after = play(rate=60.0, refuse=True)
+    served, urgent, refused_after = simulate(rate=60.0, refuse=True)
     assert served >= 0.48
     assert urgent == 1.0
     # A refusal is late after a quarter of the aim, a second here.
     assert refused_after <= 0.25
 
 
-def test_without_refusing_at_once_callers_wait_in_vain() -> None:
-    _, _, refused_after = play(rate=60.0, refuse=False)
+def test_refusals_come_late_without_early_refusal() -> None:
+    _, _, refused_after = simulate(rate=60.0, refuse=False)
     assert refused_after > 0.5
--- a/packages/jackdawcrank-policy/tests/waiting/test_waiting_line.py
+++ b/packages/jackdawcrank-policy/tests/waiting/test_waiting_line.py
@@ -1,12 +1,12 @@
-from jackdawcrank_policy.waiting import WaitingLine
+from jackdawcrank_policy.waiting import PriorityWaitQueue
 
 
-def test_more_urgent_goes_first_then_the_earlier() -> None:
-    line: WaitingLine[str] = WaitingLine()
-    line.join(2, 10.0, "late review")
-    line.join(1, 10.0, "upload")
-    line.join(2, 10.0, "review")
-    order = [line.pop(0.0), line.pop(0.0), line.pop(0.0)]
+def test_entries_are_served_by_priority_then_arrival() -> None:
+    queue: PriorityWaitQueue[str] = PriorityWaitQueue()
+    queue.enqueue(2, 10.0, "late review")
+    queue.enqueue(1, 10.0, "upload")
+    queue.enqueue(2, 10.0, "review")
+    order = [queue.pop(0.0), queue.pop(0.0), queue.pop(0.0)]
     assert [one.item for one in order if one] == [
         "upload",
         "late review",
@@ -14,26 +14,26 @@
     ]
 
 
-def test_whoever_cannot_be_served_in_time_is_passed_over() -> None:
-    line: WaitingLine[str] = WaitingLine()
-    line.join(1, 1.0, "too late")
-    line.join(1, 5.0, "in time")
-    place = line.pop(2.0)
-    assert place is not None and place.item == "in time"
+def test_expired_entry_is_skipped() -> None:
+    queue: PriorityWaitQueue[str] = PriorityWaitQueue()
+    queue.enqueue(1, 1.0, "too late")
+    queue.enqueue(1, 5.0, "in time")
+    entry = queue.pop(2.0)
+    assert entry is not None and entry.item == "in time"
 
 
-def test_place_given_up_is_not_served() -> None:
-    line: WaitingLine[str] = WaitingLine()
-    place = line.join(1, 5.0, "gone")
-    line.leave(place)
-    line.leave(place)
-    assert line.length == 0
-    assert line.pop(0.0) is None
+def test_cancelled_entry_is_not_served() -> None:
+    queue: PriorityWaitQueue[str] = PriorityWaitQueue()
+    entry = queue.enqueue(1, 5.0, "gone")
+    queue.cancel(entry)
+    queue.cancel(entry)
+    assert queue.length == 0
+    assert queue.pop(0.0) is None
 
 
-def test_clear_returns_everybody_who_still_waits() -> None:
-    line: WaitingLine[str] = WaitingLine()
-    line.leave(line.join(1, 5.0, "gone"))
-    line.join(1, 5.0, "here")
-    assert line.clear() == ["here"]
-    assert line.length == 0
+def test_clear_returns_remaining_items() -> None:
+    queue: PriorityWaitQueue[str] = PriorityWaitQueue()
+    queue.cancel(queue.enqueue(1, 5.0, "gone"))
+    queue.enqueue(1, 5.0, "here")
+    assert queue.clear() == ["here"]
+    assert queue.length == 0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/lane_care.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/lane_care.py
@@ -39,7 +39,7 @@
         for group in self.directory.groups.values():
             for lane in group.lanes.values():
                 lane.limit = group.connection_limit()
-                lane.gate.window.most = lane.limit
+                lane.gate.window.max_size = lane.limit
                 if not group.homes.is_home(group.group):
                     # From the time when it took itself for a home.
                     lane.drop_idle()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
@@ -23,9 +23,9 @@
 from jackdawcrank_policy.placement import ServerCondition
 from jackdawcrank_policy.sessions import SessionMemory
 from jackdawcrank_policy.waiting import (
-    Patience,
-    Turn,
-    WaitingLine,
+    OverloadDetector,
+    PriorityWaitQueue,
+    WaitEstimator,
     WaitLimits,
 )
 
@@ -103,10 +103,12 @@
         self.full_until = 0.0
         self.gate = StatementGate(max(MIN_WINDOW, window), limit)
         self.sending: dict[ServerLink, float] = {}
-        self.turn = Turn()
-        self.patience = Patience()
+        self.turn = WaitEstimator()
+        self.patience = OverloadDetector()
         self.loans: dict[ServerLink, float] = {}
-        self.line: WaitingLine[asyncio.Future[Granted]] = WaitingLine()
+        self.line: PriorityWaitQueue[asyncio.Future[Granted]] = (
+            PriorityWaitQueue()
+        )
         self.retired = False
         self.tasks: set[asyncio.Task[None]] = set()
         self.loop = asyncio.get_running_loop()
@@ -137,7 +139,7 @@
     ) -> Granted | Hopeless:
         """Return a connection, opening one or waiting for one."""
         now = self.loop.time()
-        deadline = self.patience.give_up_at(now, self.line.length, limits)
+        deadline = self.patience.wait_deadline(now, self.line.length, limits)
         link = self.take_idle(memory)
         if link is not None:
             return self.lend(link)
@@ -146,7 +148,7 @@
         if self.count >= self.limit and now + wait >= deadline:
             return Hopeless()
         granted: asyncio.Future[Granted] = self.loop.create_future()
-        place = self.line.join(limits.priority, deadline, granted)
+        place = self.line.enqueue(limits.priority, deadline, granted)
         self.open_more()
         try:
             async with asyncio.timeout_at(deadline):
@@ -156,7 +158,7 @@
                 return self.lend(granted.result())
             return Hopeless()
         finally:
-            self.line.leave(place)
+            self.line.cancel(place)
 
     def lend(self, granted: Granted) -> Granted:
         """Note that a connection is in use from now on."""
@@ -170,7 +172,7 @@
         self.rest(link)
         lent_at = self.loans.pop(link, None)
         if lent_at is not None:
-            self.turn.ended(self.loop.time() - lent_at)
+            self.turn.record_hold(self.loop.time() - lent_at)
             self.condition.running = len(self.loans)
 
     def rest(self, link: ServerLink) -> None:
@@ -200,7 +202,8 @@
         """Return for how long statements have waited here, in seconds."""
         now = self.loop.time()
         return max(
-            self.patience.busy_for(now), self.gate.patience.busy_for(now)
+            self.patience.nonempty_seconds(now),
+            self.gate.patience.nonempty_seconds(now),
         )
 
     def has_spare_link(self) -> bool:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_gate.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_gate.py
@@ -4,11 +4,11 @@
 import enum
 
 from jackdawcrank_policy.waiting import (
-    Patience,
-    Turn,
-    WaitingLine,
+    CongestionWindow,
+    OverloadDetector,
+    PriorityWaitQueue,
+    WaitEstimator,
     WaitLimits,
-    Window,
 )
 
 # Transactions under way hold locks and a connection: their statements go
@@ -36,11 +36,11 @@
     """
 
     def __init__(self, size: float, most: float) -> None:
-        self.window = Window(size, most)
+        self.window = CongestionWindow(size, most)
         self.under_way = 0
-        self.line: WaitingLine[asyncio.Future[None]] = WaitingLine()
-        self.turn = Turn()
-        self.patience = Patience()
+        self.line: PriorityWaitQueue[asyncio.Future[None]] = PriorityWaitQueue()
+        self.turn = WaitEstimator()
+        self.patience = OverloadDetector()
         self.loop = asyncio.get_running_loop()
 
     async def enter(self, limits: WaitLimits) -> Entry:
@@ -50,7 +50,7 @@
           limits: How it may wait, by the loop's clock.
         """
         now = self.loop.time()
-        deadline = self.patience.give_up_at(now, self.line.length, limits)
+        deadline = self.patience.wait_deadline(now, self.line.length, limits)
         if self.has_room():
             self.under_way += 1
             return Entry.GRANTED
@@ -59,7 +59,7 @@
         if now + wait >= deadline:
             return Entry.HOPELESS
         passed: asyncio.Future[None] = self.loop.create_future()
-        place = self.line.join(limits.priority, deadline, passed)
+        place = self.line.enqueue(limits.priority, deadline, passed)
         try:
             async with asyncio.timeout_at(deadline):
                 await passed
@@ -67,7 +67,7 @@
             if not passed.done() or passed.cancelled():
                 return Entry.HOPELESS
         finally:
-            self.line.leave(place)
+            self.line.cancel(place)
         return Entry.GRANTED
 
     def has_room(self) -> bool:
@@ -81,7 +81,7 @@
           seconds: How long it was.
         """
         self.under_way -= 1
-        self.turn.ended(seconds)
+        self.turn.record_hold(seconds)
         self.window.answered()
         self.let_pass()
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -27,7 +27,7 @@
 from jackdawcrank.seams.server_link import NotOpened, OpenFailure, ServerLink
 from jackdawcrank_policy.catalog import Consistency, DatabaseSpec
 from jackdawcrank_policy.values.position import Position
-from jackdawcrank_policy.waiting import STANDING_SHARE, WaitLimits
+from jackdawcrank_policy.waiting import OVERLOAD_WAIT_SHARE, WaitLimits
 
 # An answer this many times later than expected is taken for lost: our users'
 # longest work is 12 times the mean.
@@ -516,7 +516,7 @@
         expected = lane.condition.expected_seconds(now, MIN_ATTEMPT_SECONDS)
         needed = max(MIN_ATTEMPT_SECONDS, SEND_FACTOR * expected)
         latest = attempts.deadline - min(seconds * MAX_ATTEMPT_SHARE, needed)
-        early = attempts.started_at + seconds * STANDING_SHARE
+        early = attempts.started_at + seconds * OVERLOAD_WAIT_SHARE
         return WaitLimits(spec.priority, latest, min(latest, early))
 
     def give_back(
--- a/packages/jackdawcrank-proxy/tests/relay/test_server_lane.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_server_lane.py
@@ -72,7 +72,7 @@
     lane.gate.under_way = 2
     waiting = asyncio.create_task(lane.gate.enter(limits()))
     await settle()
-    lane.gate.patience.busy_since = asyncio.get_running_loop().time() - 1.0
+    lane.gate.patience.nonempty_since = asyncio.get_running_loop().time() - 1.0
     now = asyncio.get_running_loop().time()
     hopeless = WaitLimits(1, now + 5.0, now)
     assert (await lane.gate.enter(hopeless)).value == "hopeless"
