--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/__init__.py
@@ -7,20 +7,23 @@
     choose_successor,
 )
 from jackdawcrank_policy.succession.claim import Claim, next_claim
-from jackdawcrank_policy.succession.primary_doubt import (
-    Doubt,
-    PrimaryDoubt,
+from jackdawcrank_policy.succession.primary_suspicion import (
+    FailureKind,
+    PrimarySuspicion,
+)
+from jackdawcrank_policy.succession.switchover_trigger import (
+    MIN_LAG_SECONDS,
+    SwitchoverTrigger,
 )
-from jackdawcrank_policy.succession.relief import LAG_SECONDS, Relief
 
 __all__ = [
-    "LAG_SECONDS",
+    "MIN_LAG_SECONDS",
     "Claim",
-    "Doubt",
+    "FailureKind",
     "FrozenServer",
     "NoSuccessor",
-    "PrimaryDoubt",
-    "Relief",
+    "PrimarySuspicion",
+    "SwitchoverTrigger",
     "Successor",
     "choose_successor",
     "next_claim",
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/choose_successor.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/choose_successor.py
@@ -64,13 +64,13 @@
       replicas: All replicas that may have received a commit.
       confirming: Replicas that have a commit before it is acknowledged.
     """
-    found = {one.server_id: one for one in frozen}
-    missing = tuple(sorted(set(replicas) - found.keys()))
-    if not found or len(missing) >= max(1, confirming):
+    by_id = {server.server_id: server for server in frozen}
+    missing = tuple(sorted(set(replicas) - by_id.keys()))
+    if not by_id or len(missing) >= max(1, confirming):
         return NoSuccessor(missing)
-    longest = max(one.position for one in found.values())
+    longest = max(server.position for server in by_id.values())
     best = min(
-        (one for one in found.values() if one.position == longest),
-        key=lambda one: (one.leaving, one.distance, one.server_id),
+        (server for server in by_id.values() if server.position == longest),
+        key=lambda server: (server.leaving, server.distance, server.server_id),
     )
     return Successor(best.server_id, best.position)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/claim.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/claim.py
@@ -4,7 +4,7 @@
 
 # A hand-over takes a second or two; a holder that froze or was killed is
 # passed over after this long.
-CLAIM_SECONDS = 3.0
+CLAIM_TTL_SECONDS = 3.0
 
 
 @attrs.frozen
@@ -40,6 +40,6 @@
     if present is None:
         return Claim(1, holder, replaced, now)
     age = now - present.claimed_at
-    if not present.settled and 0.0 <= age < CLAIM_SECONDS:
+    if not present.settled and 0.0 <= age < CLAIM_TTL_SECONDS:
         return None
     return Claim(present.token + 1, holder, replaced, now)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/primary_doubt.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/primary_suspicion.py
@@ -5,18 +5,18 @@
 import attrs
 
 # A primary that restarts at once refuses connections for a few hundred ms.
-REFUSED_SECONDS = 0.3
+MIN_REFUSED_SECONDS = 0.3
 # Twice the time that a question without a slot may take (0.4 s). A full or slow
 # server answers that one, so the longest work does not count.
-SILENT_SECONDS = 0.8
+MIN_SILENT_SECONDS = 0.8
 # Writes that wait for a replica's receipt; longer than the widest round trip
 # and the longest work, for two different writes.
-UNCONFIRMED_SECONDS = 1.0
+MIN_UNCONFIRMED_SECONDS = 1.0
 # A single failure may be a lost answer.
 MIN_FAILURES = 2
 
 
-class Doubt(enum.Enum):
+class FailureKind(enum.Enum):
     """What is wrong with a primary."""
 
     NONE = "none"
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class PrimaryDoubt:
+class PrimarySuspicion:
     """Evidence against one primary, since its last answer.
 
     Attributes:
@@ -53,12 +53,12 @@
         self.refused = 0
         self.silent = 0
 
-    def confirmed(self) -> None:
+    def commit_acknowledged(self) -> None:
         """Take in an acknowledged commit."""
         self.answered()
         self.unconfirmed = 0
 
-    def was_refused(self, now: float) -> None:
+    def connection_refused(self, now: float) -> None:
         """Take in a refused or cut connection.
 
         Args:
@@ -68,7 +68,7 @@
             self.refused_at = now
         self.refused += 1
 
-    def was_silent(self, sent_at: float) -> None:
+    def request_timed_out(self, sent_at: float) -> None:
         """Take in a question without an answer.
 
         Args:
@@ -78,7 +78,7 @@
             self.silent_at = sent_at
         self.silent += 1
 
-    def was_unconfirmed(self, sent_at: float) -> None:
+    def write_unconfirmed(self, sent_at: float) -> None:
         """Take in a write that was not acknowledged.
 
         Args:
@@ -88,11 +88,11 @@
             self.unconfirmed_at = sent_at
         self.unconfirmed += 1
 
-    def any(self) -> bool:
+    def has_evidence(self) -> bool:
         """Return whether there is any evidence."""
         return bool(self.refused or self.silent or self.unconfirmed)
 
-    def verdict(self, now: float) -> Doubt:
+    def suspected_failure(self, now: float) -> FailureKind:
         """Return what is wrong, once it is sure enough to act on.
 
         Args:
@@ -100,17 +100,17 @@
         """
         if (
             self.refused >= MIN_FAILURES
-            and now - self.refused_at >= REFUSED_SECONDS
+            and now - self.refused_at >= MIN_REFUSED_SECONDS
         ):
-            return Doubt.REFUSING
+            return FailureKind.REFUSING
         if (
             self.silent >= MIN_FAILURES
-            and now - self.silent_at >= SILENT_SECONDS
+            and now - self.silent_at >= MIN_SILENT_SECONDS
         ):
-            return Doubt.SILENT
+            return FailureKind.SILENT
         if (
             self.unconfirmed >= MIN_FAILURES
-            and now - self.unconfirmed_at >= UNCONFIRMED_SECONDS
+            and now - self.unconfirmed_at >= MIN_UNCONFIRMED_SECONDS
         ):
-            return Doubt.UNCONFIRMED
-        return Doubt.NONE
+            return FailureKind.UNCONFIRMED
+        return FailureKind.NONE
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/relief.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/switchover_trigger.py
@@ -11,28 +11,28 @@
 import attrs
 
 # Longer than a burst takes to be worked off (0.5 s) and a hand-over (1 s).
-FULL_SECONDS = 1.0
+MIN_QUEUED_SECONDS = 1.0
 # Proven reads come many times a second; replicas that lag for less than this
 # are back before a hand-over is done.
-BEHIND_SECONDS = 1.0
+MIN_LAGGING_SECONDS = 1.0
 # What the replicas must say of their lag: twice the longest hand-over (1 s).
-LAG_SECONDS = 2.0
+MIN_LAG_SECONDS = 2.0
 # The lead moves once for a spell of lag; the users' longest last 20 to 30 s.
-PAUSE_SECONDS = 30.0
+SWITCHOVER_INTERVAL_SECONDS = 30.0
 
 
 @attrs.define
-class Relief:
+class SwitchoverTrigger:
     """What speaks for moving a group's lead.
 
     Attributes:
       replica_answered_at: When a replica last answered a read; seconds on a
         monotonic clock.
-      moved_at: When the lead last moved.
+      replaced_at: When the lead last moved.
     """
 
     replica_answered_at: float
-    moved_at: float = -math.inf
+    replaced_at: float = -math.inf
 
     def replica_answered(self, now: float) -> None:
         """Take in that a replica had the position that a read needed.
@@ -42,25 +42,25 @@
         """
         self.replica_answered_at = now
 
-    def lead_moved(self, now: float) -> None:
+    def primary_replaced(self, now: float) -> None:
         """Take in that there is another primary.
 
         Args:
           now: The current time in seconds.
         """
-        self.moved_at = now
+        self.replaced_at = now
         self.replica_answered_at = now
 
-    def wanted(self, now: float, full_for: float) -> bool:
+    def lag_check_due(self, now: float, queued_seconds: float) -> bool:
         """Return whether the replicas should be asked how far they lag.
 
         Args:
           now: The current time in seconds.
-          full_for: For how long statements have waited for the primary
+          queued_seconds: For how long statements have waited for the primary
             without a break, in seconds.
         """
         return (
-            full_for >= FULL_SECONDS
-            and now - self.replica_answered_at >= BEHIND_SECONDS
-            and now - self.moved_at >= PAUSE_SECONDS
+            queued_seconds >= MIN_QUEUED_SECONDS
+            and now - self.replica_answered_at >= MIN_LAGGING_SECONDS
+            and now - self.replaced_at >= SWITCHOVER_INTERVAL_SECONDS
         )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -14,7 +14,11 @@
 from jackdawcrank_policy.catalog import ListedServer, ServedGroup
 from jackdawcrank_policy.floors import FloorHistory
 from jackdawcrank_policy.placement import Candidate, Distance, choose
-from jackdawcrank_policy.succession import Doubt, PrimaryDoubt, Relief
+from jackdawcrank_policy.succession import (
+    FailureKind,
+    PrimarySuspicion,
+    SwitchoverTrigger,
+)
 from jackdawcrank_policy.values.position import Position
 
 # A floor is renewed at half of the age that it may have, so that even one that
@@ -102,7 +106,7 @@
         self.floors = FloorHistory()
         self.questions = ServerQuestions(self)
         self.refreshing: asyncio.Task[None] | None = None
-        self.doubt = PrimaryDoubt()
+        self.doubt = PrimarySuspicion()
         self.primary_id: str | None = None
         self.lead_since: dict[str, int] = {}
         self.disowned: dict[str, int] = {}
@@ -110,7 +114,7 @@
         self.last_primary_id: str | None = None
         self.changed = asyncio.Event()
         self.loop = asyncio.get_running_loop()
-        self.relief = Relief(self.loop.time())
+        self.relief = SwitchoverTrigger(self.loop.time())
 
     def apply_servers(self, servers: Iterable[ListedServer]) -> None:
         """Take in the servers that the group has now.
@@ -209,10 +213,10 @@
             new=server_id,
         )
         if server_id and self.last_primary_id not in (None, server_id):
-            self.relief.lead_moved(self.loop.time())
+            self.relief.primary_replaced(self.loop.time())
         self.primary_id = server_id
         self.last_primary_id = server_id or self.last_primary_id
-        self.doubt = PrimaryDoubt()
+        self.doubt = PrimarySuspicion()
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -293,8 +297,12 @@
         lane = self.primary_lane()
         if lane is None:
             return None
-        doubt = self.doubt.verdict(self.loop.time())
-        return lane if doubt in (Doubt.NONE, Doubt.UNCONFIRMED) else None
+        doubt = self.doubt.suspected_failure(self.loop.time())
+        return (
+            lane
+            if doubt in (FailureKind.NONE, FailureKind.UNCONFIRMED)
+            else None
+        )
 
     def note_lost(
         self,
@@ -314,11 +322,11 @@
         if lane is not self.primary_lane():
             return
         if not silent:
-            self.doubt.was_refused(self.loop.time())
+            self.doubt.connection_refused(self.loop.time())
         elif wrote:
-            self.doubt.was_unconfirmed(sent_at)
+            self.doubt.write_unconfirmed(sent_at)
         else:
-            self.doubt.was_silent(sent_at)
+            self.doubt.request_timed_out(sent_at)
 
     def idle_link_lost(self, server_id: str) -> None:
         """Take in that a server ended a connection that nobody used.
@@ -341,9 +349,9 @@
             return
         now = self.loop.time()
         if failure is OpenFailure.SILENT:
-            self.doubt.was_silent(now - OPEN_TIMEOUT_SECONDS)
+            self.doubt.request_timed_out(now - OPEN_TIMEOUT_SECONDS)
         elif failure is not OpenFailure.FULL:
-            self.doubt.was_refused(now)
+            self.doubt.connection_refused(now)
 
     def read_lane(
         self, now: float, needed: Position | None, excluded: set[str]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -20,9 +20,9 @@
 from jackdawcrank.seams.lead_authority import LeadAnswer, LeadAuthority
 from jackdawcrank.seams.replies import ServerStatus
 from jackdawcrank_policy.succession import (
-    LAG_SECONDS,
+    MIN_LAG_SECONDS,
     Claim,
-    Doubt,
+    FailureKind,
     FrozenServer,
     NoSuccessor,
     choose_successor,
@@ -115,7 +115,7 @@
         elif self.group.primary_lane() is None:
             if self.group.lanes:
                 self.begin(self.look_again())
-        elif self.group.doubt.any():
+        elif self.group.doubt.has_evidence():
             self.begin(self.question_primary())
 
     def begin(self, work: Work) -> None:
@@ -152,10 +152,10 @@
         self.primary_missing_since = None
         if lane.server.leaving:
             return LEAVING
-        doubt = self.group.doubt.verdict(now)
-        if doubt is not Doubt.NONE:
+        doubt = self.group.doubt.suspected_failure(now)
+        if doubt is not FailureKind.NONE:
             return str(doubt.value)
-        if self.group.relief.wanted(now, lane.full_for()):
+        if self.group.relief.lag_check_due(now, lane.full_for()):
             return REPLICAS_LAG
         return None
 
@@ -186,13 +186,13 @@
             return
         old = self.group.primary_lane()
         old_id = old.server.server_id if old else ""
-        if reason == Doubt.UNCONFIRMED.value and await self.keeps_up():
-            self.group.doubt.confirmed()
+        if reason == FailureKind.UNCONFIRMED.value and await self.keeps_up():
+            self.group.doubt.commit_acknowledged()
             return
         if reason == REPLICAS_LAG and not await self.all_lag():
             self.not_before = self.loop.time() + RETRY_SECONDS
             return
-        lost = reason in (Doubt.SILENT.value, Doubt.REFUSING.value)
+        lost = reason in (FailureKind.SILENT.value, FailureKind.REFUSING.value)
         if lost and old is not None and (await self.questions.leads(old)).alive:
             return
         granted = await self.claims.claim(self.group.name, self.process, old_id)
@@ -229,7 +229,7 @@
         """Return whether every replica that could lead shows old data."""
         kept_up = await self.replicas_kept_up()
         return bool(kept_up) and all(
-            one.lag_seconds >= LAG_SECONDS for one in kept_up
+            one.lag_seconds >= MIN_LAG_SECONDS for one in kept_up
         )
 
     async def replicas_kept_up(self) -> list[ServerStatus]:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -201,7 +201,7 @@
         self.note_commit(session.database, request_id, start, reply)
         if reply.problem is None and self.wrote:
             session.saw(reply.position)
-            self.group.doubt.confirmed()
+            self.group.doubt.commit_acknowledged()
             if reply.position:
                 self.group.floors.learn(sent_at, reply.position)
         elif reply.problem is Problem.NOT_PRIMARY:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -195,7 +195,7 @@
             return None
         if reply.problem is None:
             session.saw(reply.position)
-            group.doubt.confirmed()
+            group.doubt.commit_acknowledged()
             if reply.position:
                 group.floors.learn(sent_at, reply.position)
         return reply
