--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/place.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/choose_server.py
@@ -24,7 +24,7 @@
 
 # What a statement should take on a server that has not answered yet: the
 # users' mean work of 30 ms and their round trips of 0.4, 3 and 16 to 40 ms.
-UNKNOWN_SECONDS = {
+INITIAL_ESTIMATE_SECONDS = {
     Distance.DATA_CENTER: 0.030,
     Distance.REGION: 0.033,
     Distance.ELSEWHERE: 0.060,
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Candidate:
+class ServerCandidate:
     """A server that may run a read.
 
     Attributes:
@@ -55,8 +55,8 @@
     waiting: int = 0
 
 
-def choose(
-    candidates: Iterable[Candidate],
+def choose_server(
+    candidates: Iterable[ServerCandidate],
     now: float,
     needed: Position | None,
     primary: str | None,
@@ -69,25 +69,30 @@
       needed: The position that a replica must have; None if any will do.
       primary: The candidate that needs no proof of its position, if any.
     """
-    able = [one for one in candidates if one.condition.avoid_until <= now]
-    fresh = [
-        one
-        for one in able
-        if one.server_id == primary or has_position(one, now, needed)
+    available = [
+        candidate
+        for candidate in candidates
+        if candidate.condition.avoid_until <= now
     ]
-    if not fresh:
+    eligible = [
+        candidate
+        for candidate in available
+        if candidate.server_id == primary
+        or has_position(candidate, now, needed)
+    ]
+    if not eligible:
         return None
     return min(
-        fresh,
-        key=lambda one: (
-            expected_seconds(one, now)
-            * (PRIMARY_FACTOR if one.server_id == primary else 1.0)
+        eligible,
+        key=lambda candidate: (
+            expected_seconds(candidate, now)
+            * (PRIMARY_FACTOR if candidate.server_id == primary else 1.0)
         ),
     ).server_id
 
 
 def has_position(
-    candidate: Candidate, now: float, needed: Position | None
+    candidate: ServerCandidate, now: float, needed: Position | None
 ) -> bool:
     """Return whether a replica is likely to have a position.
 
@@ -101,10 +106,10 @@
         return True
     if condition.position is not None and condition.position >= needed:
         return True
-    return condition.behind_until <= now
+    return condition.lagging_until <= now
 
 
-def expected_seconds(candidate: Candidate, now: float) -> float:
+def expected_seconds(candidate: ServerCandidate, now: float) -> float:
     """Return how long a read should take at a candidate, in seconds.
 
     Args:
@@ -112,9 +117,11 @@
       now: The current time in seconds.
     """
     condition = candidate.condition
-    unknown = UNKNOWN_SECONDS[candidate.distance]
+    unknown = INITIAL_ESTIMATE_SECONDS[candidate.distance]
     seconds = condition.expected_seconds(now, unknown)
     ahead = condition.running + candidate.waiting
     queued = ahead / max(1, candidate.slots)
-    away = candidate.distance is Distance.ELSEWHERE
-    return seconds * (1.0 + queued) + (REGION_PENALTY_SECONDS if away else 0.0)
+    remote = candidate.distance is Distance.ELSEWHERE
+    return seconds * (1.0 + queued) + (
+        REGION_PENALTY_SECONDS if remote else 0.0
+    )
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/server_condition.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/server_condition.py
@@ -11,16 +11,16 @@
 ANSWER_WEIGHT = 0.1
 # Answers given up are rare and tell much: three of them move the smoothed time
 # most of the way.
-GIVEN_UP_WEIGHT = 0.3
+TIMEOUT_WEIGHT = 0.3
 # After this long without answers half of a server's excess is forgotten, so a
 # server that was slow is tried again within seconds.
-FORGET_HALF_LIFE_SECONDS = 2.0
+DECAY_HALF_LIFE_SECONDS = 2.0
 # The first pause after an unreachable or overloaded server, doubled each time.
-FIRST_PAUSE_SECONDS = 0.1
+INITIAL_BACKOFF_SECONDS = 0.1
 # One server out of three may be missed for this long after it is back.
-LONGEST_PAUSE_SECONDS = 1.0
+MAX_BACKOFF_SECONDS = 1.0
 # The first pause after a replica lacked a position: about the lag (60 ms).
-FIRST_BEHIND_SECONDS = 0.06
+INITIAL_LAG_BACKOFF_SECONDS = 0.06
 
 
 @attrs.define
@@ -35,8 +35,8 @@
       answered_at: When the last answer came.
       failures: Failures in a row.
       avoid_until: Until when it gets no work that another server can do.
-      behind: How often in a row it lacked a position.
-      behind_until: Until when it is taken to lag.
+      lag_failures: How often in a row it lacked a position.
+      lagging_until: Until when it is taken to lag.
       position: The greatest log position that it has shown.
     """
 
@@ -46,8 +46,8 @@
     answered_at: float = -math.inf
     failures: int = 0
     avoid_until: float = -math.inf
-    behind: int = 0
-    behind_until: float = -math.inf
+    lag_failures: int = 0
+    lagging_until: float = -math.inf
     position: Position | None = None
 
     def answered(self, seconds: float, now: float) -> None:
@@ -64,7 +64,7 @@
         self.best_seconds = min(self.best_seconds, self.seconds)
         self.answered_at = now
 
-    def gave_up(self, seconds: float) -> None:
+    def timed_out(self, seconds: float) -> None:
         """Take in an answer that was waited for in vain.
 
         Had the wait been longer, the answer might have come: the next wait
@@ -75,7 +75,7 @@
           seconds: How long it was waited for.
         """
         known = seconds if self.seconds is None else self.seconds
-        self.seconds = known + GIVEN_UP_WEIGHT * max(0.0, seconds - known)
+        self.seconds = known + TIMEOUT_WEIGHT * max(0.0, seconds - known)
         self.best_seconds = min(self.best_seconds, self.seconds)
 
     def failed(self, now: float) -> None:
@@ -84,9 +84,9 @@
         Args:
           now: The current time in seconds.
         """
-        pause = FIRST_PAUSE_SECONDS * 2.0 ** min(self.failures, 8)
+        pause = INITIAL_BACKOFF_SECONDS * 2.0 ** min(self.failures, 8)
         self.failures += 1
-        self.avoid_until = now + min(pause, LONGEST_PAUSE_SECONDS)
+        self.avoid_until = now + min(pause, MAX_BACKOFF_SECONDS)
 
     def lagged(self, now: float) -> None:
         """Take in that it lacked a position that was asked for.
@@ -94,16 +94,16 @@
         Args:
           now: The current time in seconds.
         """
-        pause = FIRST_BEHIND_SECONDS * 2.0 ** min(self.behind, 8)
-        self.behind += 1
-        self.behind_until = now + min(pause, LONGEST_PAUSE_SECONDS)
+        pause = INITIAL_LAG_BACKOFF_SECONDS * 2.0 ** min(self.lag_failures, 8)
+        self.lag_failures += 1
+        self.lagging_until = now + min(pause, MAX_BACKOFF_SECONDS)
 
     def caught_up(self) -> None:
         """Take in that it had a position that was asked for."""
-        self.behind = 0
-        self.behind_until = -math.inf
+        self.lag_failures = 0
+        self.lagging_until = -math.inf
 
-    def showed(self, position: Position | None) -> None:
+    def position_seen(self, position: Position | None) -> None:
         """Take in the position in an answer.
 
         Args:
@@ -122,5 +122,5 @@
         if self.seconds is None:
             return unknown
         age = max(0.0, now - self.answered_at)
-        kept = math.pow(0.5, age / FORGET_HALF_LIFE_SECONDS)
-        return self.best_seconds + (self.seconds - self.best_seconds) * kept
+        decay = math.pow(0.5, age / DECAY_HALF_LIFE_SECONDS)
+        return self.best_seconds + (self.seconds - self.best_seconds) * decay
--- a/packages/jackdawcrank-policy/tests/placement/test_place.py
+++ b/packages/jackdawcrank-policy/tests/placement/test_place.py
@@ -1,8 +1,8 @@
 from jackdawcrank_policy.placement import (
-    Candidate,
     Distance,
+    ServerCandidate,
     ServerCondition,
-    choose,
+    choose_server,
 )
 from jackdawcrank_policy.values.position import Position
 
@@ -11,8 +11,8 @@
     name: str,
     distance: Distance = Distance.DATA_CENTER,
     condition: ServerCondition | None = None,
-) -> Candidate:
-    return Candidate(name, distance, 5, condition or ServerCondition())
+) -> ServerCandidate:
+    return ServerCandidate(name, distance, 5, condition or ServerCondition())
 
 
 def answered(*seconds: float, now: float = 0.0) -> ServerCondition:
@@ -22,15 +22,15 @@
     return condition
 
 
-def test_nearest_server_is_chosen_while_nothing_is_known() -> None:
+def test_nearest_server_is_chosen_without_measurements() -> None:
     near, far = candidate("near"), candidate("far", Distance.ELSEWHERE)
-    assert choose([far, near], 0.0, None, None) == "near"
+    assert choose_server([far, near], 0.0, None, None) == "near"
 
 
-def test_slow_server_gives_way_to_one_farther_off() -> None:
+def test_slow_server_is_avoided_for_a_distant_one() -> None:
     slow = candidate("slow", condition=answered(*[0.4] * 40))
     far = candidate("far", Distance.ELSEWHERE, answered(0.07))
-    assert choose([slow, far], 0.0, None, None) == "far"
+    assert choose_server([slow, far], 0.0, None, None) == "far"
 
 
 def test_slow_server_is_tried_again_after_some_seconds() -> None:
@@ -39,37 +39,40 @@
         condition.answered(0.4, 1.0)
     slow = candidate("slow", condition=condition)
     far = candidate("far", Distance.ELSEWHERE, answered(0.07, now=1.0))
-    assert choose([slow, far], 1.0, None, None) == "far"
-    assert choose([slow, far], 12.0, None, None) == "slow"
+    assert choose_server([slow, far], 1.0, None, None) == "far"
+    assert choose_server([slow, far], 12.0, None, None) == "slow"
 
 
-def test_unreachable_server_is_left_out_for_a_while() -> None:
+def test_unreachable_server_is_excluded_temporarily() -> None:
     condition = ServerCondition()
     condition.failed(5.0)
-    assert choose([candidate("a", condition=condition)], 5.05, None, None) is (
-        None
+    assert choose_server(
+        [candidate("a", condition=condition)], 5.05, None, None
+    ) is (None)
+    assert (
+        choose_server([candidate("a", condition=condition)], 6.1, None, None)
+        == "a"
     )
-    assert choose([candidate("a", condition=condition)], 6.1, None, None) == "a"
 
 
-def test_lagging_replica_is_left_out_unless_it_showed_the_position() -> None:
+def test_lagging_replica_is_excluded_until_position_is_seen() -> None:
     condition = ServerCondition()
     condition.lagged(5.0)
     needed = Position(1, 9)
     lagging = candidate("a", condition=condition)
-    assert choose([lagging], 5.01, needed, None) is None
-    condition.showed(Position(1, 9))
-    assert choose([lagging], 5.01, needed, None) == "a"
+    assert choose_server([lagging], 5.01, needed, None) is None
+    condition.position_seen(Position(1, 9))
+    assert choose_server([lagging], 5.01, needed, None) == "a"
 
 
-def test_primary_needs_no_proof_of_its_position() -> None:
+def test_primary_is_eligible_without_known_position() -> None:
     condition = ServerCondition()
     condition.lagged(5.0)
     lagging = candidate("a", condition=condition)
-    assert choose([lagging], 5.01, Position(1, 9), "a") == "a"
+    assert choose_server([lagging], 5.01, Position(1, 9), "a") == "a"
 
 
-def play(slow_factor: float, rate: float, seconds: float) -> float:
+def simulate(slow_factor: float, rate: float, seconds: float) -> float:
     """Play reads at three servers, one of them slow; return the share in time.
 
     Each server runs five statements of 30 ms at once and queues the rest.
@@ -89,7 +92,7 @@
             under_way.remove((end, name, start))
             by_name[name].condition.running -= 1
             by_name[name].condition.answered(end - start, end)
-        chosen = choose(candidates, now, None, None)
+        chosen = choose_server(candidates, now, None, None)
         assert chosen is not None
         work = 0.03 * (slow_factor if chosen == "a" else 1.0)
         slots = free_at[chosen]
@@ -105,9 +108,9 @@
 
 def test_peak_load_is_served_in_time_by_all_three_servers() -> None:
     # 350 reads a second need 10.5 of the 15 slots; one server has 5.
-    assert play(slow_factor=1.0, rate=350.0, seconds=10.0) >= 0.99
+    assert simulate(slow_factor=1.0, rate=350.0, seconds=10.0) >= 0.99
 
 
-def test_slow_near_server_costs_callers_little() -> None:
+def test_slow_near_server_barely_delays_callers() -> None:
     # The other two can do 333 a second.
-    assert play(slow_factor=5.0, rate=250.0, seconds=10.0) >= 0.97
+    assert simulate(slow_factor=5.0, rate=250.0, seconds=10.0) >= 0.97
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -13,7 +13,11 @@
 from jackdawcrank.seams.server_link import LinkOpener, OpenFailure
 from jackdawcrank_policy.catalog import ListedServer, ServedGroup
 from jackdawcrank_policy.floors import FloorHistory
-from jackdawcrank_policy.placement import Candidate, Distance, choose
+from jackdawcrank_policy.placement import (
+    Distance,
+    ServerCandidate,
+    choose_server,
+)
 from jackdawcrank_policy.succession import (
     FailureKind,
     PrimarySuspicion,
@@ -363,7 +367,7 @@
           needed: The position that the server must have.
           excluded: Servers that have failed this read.
         """
-        chosen = choose(
+        chosen = choose_server(
             [
                 self.candidate(lane)
                 for lane in self.lanes.values()
@@ -376,13 +380,13 @@
         )
         return self.lanes[chosen] if chosen else None
 
-    def candidate(self, lane: ServerLane) -> Candidate:
+    def candidate(self, lane: ServerLane) -> ServerCandidate:
         """Return a lane's server as the placement sees it.
 
         Args:
           lane: The lane.
         """
-        return Candidate(
+        return ServerCandidate(
             lane.server.server_id,
             self.whereabouts.distance(lane.server.data_center),
             lane.server.slots,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -140,7 +140,7 @@
     def answered(self, sent_at: float, start: float, reply: Reply) -> None:
         """Take in a server's answer."""
         condition = self.lane.condition
-        condition.showed(reply.position)
+        condition.position_seen(reply.position)
         if reply.problem is Problem.NOT_PRIMARY:
             self.group.disown(self.lane)
         elif reply.problem is None:
@@ -197,7 +197,7 @@
             self.release()
         else:
             self.undo()
-        self.lane.condition.showed(reply.position)
+        self.lane.condition.position_seen(reply.position)
         self.note_commit(session.database, request_id, start, reply)
         if reply.problem is None and self.wrote:
             session.saw(reply.position)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
@@ -324,7 +324,7 @@
         if isinstance(outcome, NotOpened):
             self.not_opened(outcome)
         else:
-            self.condition.showed(outcome.first_position)
+            self.condition.position_seen(outcome.first_position)
             self.release(outcome)
         # Whoever got this one comes to the gate first.
         self.loop.call_soon(self.open_more)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
@@ -93,7 +93,7 @@
         if replies is None:
             return LeadReply(lane, alive=False)
         opened = replies[0]
-        lane.condition.showed(opened.position)
+        lane.condition.position_seen(opened.position)
         term = opened.position.term if opened.position else 0
         leads = opened.problem is None
         if lane is self.group.primary_lane():
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -187,7 +187,7 @@
                 problem=Problem.IN_DOUBT,
                 detail="the server did not answer the write",
             )
-        lane.condition.showed(reply.position)
+        lane.condition.position_seen(reply.position)
         broken = reply.problem is Problem.UNKNOWN_NAME
         self.give_back(lane, link, broken)
         if reply.problem in NOT_RUN:
@@ -226,7 +226,7 @@
         if reply is None:
             self.give_back(lane, link, broken=True)
             return None
-        lane.condition.showed(reply.position)
+        lane.condition.position_seen(reply.position)
         broken = reply.problem is Problem.UNKNOWN_NAME
         self.give_back(lane, link, broken)
         return self.judge_read(group, lane, reply, attempts)
@@ -306,7 +306,7 @@
         attempts.excluded.add(lane.server.server_id)
         lane.condition.failed(now)
         if not link.closed:
-            lane.condition.gave_up(now - start)
+            lane.condition.timed_out(now - start)
         group.note_lost(lane, not link.closed, start)
 
     def attempt_seconds(
@@ -362,7 +362,7 @@
             self.give_back(lane, link, broken=True)
             return None
         opened = futures[opening].result()
-        lane.condition.showed(reply.position)
+        lane.condition.position_seen(reply.position)
         if reply.problem is Problem.UNKNOWN_NAME:
             self.give_back(lane, link, broken=True)
         else:
@@ -462,7 +462,7 @@
             self.note_no_answer(group, lane, link, attempts, start, limit)
             self.give_back(lane, link, broken=True)
             return None
-        lane.condition.showed(reply.position)
+        lane.condition.position_seen(reply.position)
         if reply.problem is not None:
             self.give_back(lane, link, broken=False)
             self.note_refusal(group, lane, reply, attempts)
