--- a/bench/writes_model/deadline_rule.py
+++ b/bench/writes_model/deadline_rule.py
@@ -3,7 +3,7 @@
 from jackdawcrank_policy.detection import (
     PROBE_INTERVAL_SECONDS,
     PROBE_TIMEOUT_SECONDS,
-    SECOND_TIMEOUT_SECONDS,
+    RETRY_PROBE_TIMEOUT_SECONDS,
 )
 from writes_model.probe_stream import ProbeStream
 
@@ -23,7 +23,7 @@
       scale: A factor on both deadlines.
     """
     first = PROBE_TIMEOUT_SECONDS * scale
-    second = SECOND_TIMEOUT_SECONDS * scale
+    second = RETRY_PROBE_TIMEOUT_SECONDS * scale
     alarms = []
     now = start
     while now < end:
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/judge.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/judge.py
@@ -45,21 +45,21 @@
       evidence: One entry for each home that answered, the own included.
       primary: The primary in question; evidence on another is ignored.
     """
-    healths = [one.health for one in evidence if one.primary == primary]
-    able = [
+    healths = [entry.health for entry in evidence if entry.primary == primary]
+    conclusive = [
         health
         for health in healths
         if health.is_suspicious or health.is_answering
     ]
-    suspecting = sum(1 for health in able if health.is_suspicious)
-    reaching = len(able) - suspecting
+    suspecting = sum(1 for health in conclusive if health.is_suspicious)
+    reaching = len(conclusive) - suspecting
     if suspecting >= min(MIN_SUSPECTING, len(healths)) > 0:
         if not reaching:
             return Judgement.FAILED
         if suspecting > reaching:
             return Judgement.PARTITIONED
-    if suspecting or not able:
+    if suspecting or not conclusive:
         return Judgement.UNCERTAIN
-    if healths.count(PrimaryHealth.SLOW) * 2 > len(able):
+    if healths.count(PrimaryHealth.SLOW) * 2 > len(conclusive):
         return Judgement.SLOW
     return Judgement.HEALTHY
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_detector.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_detector.py
@@ -8,7 +8,7 @@
 
 PROBE_INTERVAL_SECONDS = 0.25
 PROBE_TIMEOUT_SECONDS = 0.4
-SECOND_TIMEOUT_SECONDS = 0.8
+RETRY_PROBE_TIMEOUT_SECONDS = 0.8
 SUSPECT_AFTER_SECONDS = 1.0
 REFUSING_AFTER_SECONDS = 0.5
 CORROBORATE_AFTER_SECONDS = 0.3
@@ -116,9 +116,9 @@
             return PrimaryHealth.UNKNOWN
         silent = self.silent_seconds(now)
         if self.refusals >= MIN_REFUSALS and silent >= REFUSING_AFTER_SECONDS:
-            return self.unless_cut_off(PrimaryHealth.REFUSING, now)
+            return self.health_unless_cut_off(PrimaryHealth.REFUSING, now)
         if self.misses >= self.min_misses and silent >= self.suspect_after:
-            return self.unless_cut_off(PrimaryHealth.SUSPECT, now)
+            return self.health_unless_cut_off(PrimaryHealth.SUSPECT, now)
         if self.misses or self.is_slow():
             return PrimaryHealth.SLOW
         return PrimaryHealth.HEALTHY
@@ -137,18 +137,23 @@
             return health
         if self.silent_seconds(now) < CORROBORATE_AFTER_SECONDS:
             return health
-        return self.unless_cut_off(PrimaryHealth.SUSPECT, now)
+        return self.health_unless_cut_off(PrimaryHealth.SUSPECT, now)
 
-    def unless_cut_off(
+    def health_unless_cut_off(
         self, health: PrimaryHealth, now: float
     ) -> PrimaryHealth:
         """Return the health, or that this proxy seems to be cut off."""
-        heard = self.others_answer_at
-        if heard is not None and now - heard <= 2 * self.suspect_after:
+        last_answer_at = self.others_answer_at
+        if (
+            last_answer_at is not None
+            and now - last_answer_at <= 2 * self.suspect_after
+        ):
             return health
         return PrimaryHealth.CUT_OFF
 
     def is_slow(self) -> bool:
         """Return whether half of the newest answers were late."""
-        late = sum(1 for one in self.latencies if one > SLOW_ANSWER_SECONDS)
+        late = sum(
+            1 for latency in self.latencies if latency > SLOW_ANSWER_SECONDS
+        )
         return late * 2 > len(self.latencies)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/promotion_backoff.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/promotion_backoff.py
@@ -2,17 +2,17 @@
 
 import attrs
 
-FREE_PROMOTIONS = 2
-FIRST_PAUSE_SECONDS = 10.0
-MAX_PAUSE_SECONDS = 300.0
-FORGET_AFTER_SECONDS = 600.0
+PROMOTIONS_WITHOUT_BACKOFF = 2
+PROMOTION_BACKOFF_SECONDS = 10.0
+MAX_PROMOTION_BACKOFF_SECONDS = 300.0
+PROMOTION_WINDOW_SECONDS = 600.0
 
 
 @attrs.define
 class PromotionBackoff:
     """Keeps a group's primary from moving back and forth.
 
-    The first promotions within `FORGET_AFTER_SECONDS` follow each other at
+    The first promotions within `PROMOTION_WINDOW_SECONDS` follow each other at
     once, so that a second failure is repaired as fast as the first; then the
     pause before the next one doubles.
 
@@ -28,7 +28,7 @@
         Args:
           now: When it was seen, in seconds.
         """
-        self.forget(now)
+        self.remove_expired(now)
         self.promoted_at.append(now)
 
     def ready_at(self, now: float) -> float:
@@ -37,14 +37,17 @@
         Args:
           now: The present time, in seconds.
         """
-        self.forget(now)
-        extra = len(self.promoted_at) - FREE_PROMOTIONS
+        self.remove_expired(now)
+        extra = len(self.promoted_at) - PROMOTIONS_WITHOUT_BACKOFF
         if extra < 0:
             return now
-        pause = min(FIRST_PAUSE_SECONDS * 2.0**extra, MAX_PAUSE_SECONDS)
+        pause = min(
+            PROMOTION_BACKOFF_SECONDS * 2.0**extra,
+            MAX_PROMOTION_BACKOFF_SECONDS,
+        )
         return max(now, self.promoted_at[-1] + pause)
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Drop promotions that are too old to count."""
-        horizon = now - FORGET_AFTER_SECONDS
-        self.promoted_at = [at for at in self.promoted_at if at > horizon]
+        cutoff = now - PROMOTION_WINDOW_SECONDS
+        self.promoted_at = [at for at in self.promoted_at if at > cutoff]
--- a/packages/jackdawcrank-policy/tests/detection/test_judge.py
+++ b/packages/jackdawcrank-policy/tests/detection/test_judge.py
@@ -37,7 +37,7 @@
         ("lhh", Judgement.HEALTHY),
     ],
 )
-def test_judgement(healths: str, expected: Judgement) -> None:
+def test_combined_judgement(healths: str, expected: Judgement) -> None:
     evidence = [
         PrimaryEvidence(f"vm{number}", "ledger", 4, "s1", HEALTHS[letter])
         for number, letter in enumerate(healths)
--- a/packages/jackdawcrank-policy/tests/detection/test_primary_detector.py
+++ b/packages/jackdawcrank-policy/tests/detection/test_primary_detector.py
@@ -26,13 +26,15 @@
     return now
 
 
-def test_silence_and_misses_make_a_suspect(detector: PrimaryDetector) -> None:
+def test_silence_with_misses_raises_suspicion(
+    detector: PrimaryDetector,
+) -> None:
     now = miss(detector, 3)
     detector.other_answered(now - 0.2)
     assert detector.health(now) is PrimaryHealth.SUSPECT
 
 
-def test_silence_without_misses_is_this_process_pausing(
+def test_silence_without_misses_is_not_suspicious(
     detector: PrimaryDetector,
 ) -> None:
     detector.other_answered(10.0)
@@ -41,7 +43,7 @@
     assert detector.health(40.0) is PrimaryHealth.SLOW
 
 
-def test_misses_within_a_short_silence_are_slowness(
+def test_misses_within_short_silence_count_as_slow(
     detector: PrimaryDetector,
 ) -> None:
     for sent_at in (10.25, 10.3, 10.35, 10.4):
@@ -53,41 +55,43 @@
     )
 
 
-def test_an_answer_clears_the_suspicion(detector: PrimaryDetector) -> None:
+def test_answer_clears_suspicion(detector: PrimaryDetector) -> None:
     now = miss(detector, 4)
     detector.answered(now, now + 0.02)
     assert detector.health(now + 0.02) is not PrimaryHealth.SUSPECT
     assert detector.misses == 0
 
 
-def test_late_answers_are_slow(detector: PrimaryDetector) -> None:
+def test_late_answers_count_as_slow(detector: PrimaryDetector) -> None:
     for number in range(8):
         detector.answered(11.0 + number, 11.28 + number)
     assert detector.health(19.0) is PrimaryHealth.SLOW
 
 
-def test_refusals_count_sooner(detector: PrimaryDetector) -> None:
+def test_refusals_raise_suspicion_sooner(detector: PrimaryDetector) -> None:
     detector.other_answered(10.4)
     detector.refused(10.25)
     detector.refused(10.5)
     assert detector.health(10.52) is PrimaryHealth.REFUSING
 
 
-def test_a_proxy_that_reaches_nobody_is_cut_off(
+def test_proxy_without_any_answers_is_cut_off(
     detector: PrimaryDetector,
 ) -> None:
     now = miss(detector, 10)
     assert detector.health(now) is PrimaryHealth.CUT_OFF
 
 
-def test_one_fresh_miss_corroborates(detector: PrimaryDetector) -> None:
+def test_single_recent_miss_corroborates_suspicion(
+    detector: PrimaryDetector,
+) -> None:
     now = miss(detector, 1)
     detector.other_answered(10.3)
     assert detector.health(now) is PrimaryHealth.SLOW
     assert detector.corroborating_health(now) is PrimaryHealth.SUSPECT
 
 
-def test_a_miss_from_before_an_answer_is_ignored(
+def test_miss_sent_before_newest_answer_is_ignored(
     detector: PrimaryDetector,
 ) -> None:
     detector.answered(12.0, 12.02)
--- a/packages/jackdawcrank-policy/tests/detection/test_promotion_backoff.py
+++ b/packages/jackdawcrank-policy/tests/detection/test_promotion_backoff.py
@@ -3,14 +3,14 @@
 from jackdawcrank_policy.detection import PromotionBackoff
 
 
-def test_a_second_failure_is_repaired_at_once() -> None:
+def test_second_promotion_is_not_delayed() -> None:
     backoff = PromotionBackoff()
     assert backoff.ready_at(5.0) == 5.0
     backoff.promoted(5.0)
     assert backoff.ready_at(8.0) == 8.0
 
 
-def test_further_promotions_wait_longer_and_longer() -> None:
+def test_further_promotions_back_off_exponentially() -> None:
     backoff = PromotionBackoff()
     waits = []
     now = 0.0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/server_probe.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/server_probe.py
@@ -8,7 +8,7 @@
 from jackdawcrank.timer import Subscription, Timer
 from jackdawcrank_policy.detection import (
     PROBE_TIMEOUT_SECONDS,
-    SECOND_TIMEOUT_SECONDS,
+    RETRY_PROBE_TIMEOUT_SECONDS,
 )
 from jackdawcrank_policy.values import ServerReport
 
@@ -113,7 +113,7 @@
         """
         if self.latest is None or self.latest.report is not None:
             return PROBE_TIMEOUT_SECONDS
-        return SECOND_TIMEOUT_SECONDS
+        return RETRY_PROBE_TIMEOUT_SECONDS
 
     def read(
         self,
