--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/class_queue.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/class_queue.py
@@ -13,13 +13,13 @@
 
     Attributes:
       weight: The class's weight.
-      served: The class's virtual time, which grows by 1/weight per request.
+      virtual_time: The class's virtual time, which grows by 1/weight per request.
       callers: The waiting requests of each caller, next caller first.
       length: How many requests wait.
     """
 
     weight: int
-    served: float = 0.0
+    virtual_time: float = 0.0
     callers: collections.OrderedDict[
         str, collections.deque[AdmissionRequest]
     ] = attrs.Factory(collections.OrderedDict)
@@ -53,7 +53,7 @@
         """Return the caller with the most requests waiting."""
         return max(self.callers, key=lambda caller: len(self.callers[caller]))
 
-    def waiting_of(self, caller: str) -> int:
+    def waiting_count(self, caller: str) -> int:
         """Return how many requests of a caller wait."""
         return len(self.callers.get(caller, ()))
 
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/fair_queue.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/fair_queue.py
@@ -12,11 +12,11 @@
 
     Attributes:
       classes: The queue of each class that has requests waiting.
-      served: The virtual time of the last class that was served.
+      virtual_time: The virtual time of the last class that was served.
     """
 
     classes: dict[str, ClassQueue] = attrs.Factory(dict)
-    served: float = 0.0
+    virtual_time: float = 0.0
 
     @property
     def length(self) -> int:
@@ -31,16 +31,18 @@
         """
         queue = self.classes.get(request.caller_class)
         if queue is None:
-            queue = ClassQueue(max(1, request.weight), self.served)
+            queue = ClassQueue(max(1, request.weight), self.virtual_time)
             self.classes[request.caller_class] = queue
         queue.push(request)
 
     def pop(self) -> AdmissionRequest:
         """Remove and return the request whose turn it is."""
-        name = min(self.classes, key=lambda n: (self.classes[n].served, n))
+        name = min(
+            self.classes, key=lambda n: (self.classes[n].virtual_time, n)
+        )
         queue = self.classes[name]
-        self.served = queue.served
-        queue.served += 1 / queue.weight
+        self.virtual_time = queue.virtual_time
+        queue.virtual_time += 1 / queue.weight
         request = queue.pop()
         self.drop_empty(name)
         return request
@@ -55,31 +57,35 @@
         Args:
           newcomer: The request that finds the queue full.
         """
-        name = max(self.classes, key=self.claim)
+        name = max(self.classes, key=self.weighted_length)
         if name != newcomer.caller_class:
-            if self.claim(name) <= self.claim_with(newcomer):
+            if self.weighted_length(name) <= self.weighted_length_with(
+                newcomer
+            ):
                 return None
-        elif not self.outweighs(newcomer, self.classes[name]):
+        elif not self.has_longer_caller_queue(newcomer, self.classes[name]):
             return None
         displaced = self.classes[name].pop_longest()
         self.drop_empty(name)
         return displaced
 
-    def claim(self, name: str) -> float:
+    def weighted_length(self, name: str) -> float:
         """Return how many requests of a class wait, by its weight."""
         queue = self.classes[name]
         return queue.length / queue.weight
 
-    def claim_with(self, newcomer: AdmissionRequest) -> float:
+    def weighted_length_with(self, newcomer: AdmissionRequest) -> float:
         """Return the claim of a request's class with the request in it."""
         queue = self.classes.get(newcomer.caller_class)
         length = queue.length if queue else 0
         return (length + 1) / max(1, newcomer.weight)
 
-    def outweighs(self, newcomer: AdmissionRequest, queue: ClassQueue) -> bool:
+    def has_longer_caller_queue(
+        self, newcomer: AdmissionRequest, queue: ClassQueue
+    ) -> bool:
         """Return whether another caller of the class waits for more."""
-        longest = queue.waiting_of(queue.longest_caller())
-        return longest > queue.waiting_of(newcomer.caller) + 1
+        longest = queue.waiting_count(queue.longest_caller())
+        return longest > queue.waiting_count(newcomer.caller) + 1
 
     def ahead_of(self, request: AdmissionRequest) -> float:
         """Return how many requests should be served before a newcomer.
@@ -87,9 +93,11 @@
         Args:
           request: A request that is not in the queue yet.
         """
-        mine = self.classes.get(request.caller_class)
-        rounds = 1 + (mine.waiting_of(request.caller) if mine else 0)
-        own = self.served_first(mine, rounds)
+        own_queue = self.classes.get(request.caller_class)
+        rounds = 1 + (
+            own_queue.waiting_count(request.caller) if own_queue else 0
+        )
+        own = self.served_within(own_queue, rounds)
         turns = (own + 1) / max(1, request.weight)
         others = (
             min(queue.length, turns * queue.weight)
@@ -98,11 +106,13 @@
         )
         return own + sum(others)
 
-    def served_first(self, queue: ClassQueue | None, rounds: int) -> int:
+    def served_within(self, queue: ClassQueue | None, rounds: int) -> int:
         """Return how many of a class's requests come in some rounds."""
         if queue is None:
             return 0
-        return sum(min(len(w), rounds) for w in queue.callers.values())
+        return sum(
+            min(len(requests), rounds) for requests in queue.callers.values()
+        )
 
     def remove_late(self, latest: float) -> list[AdmissionRequest]:
         """Remove and return requests whose deadline is before an instant."""
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/group_admission.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/group_admission.py
@@ -61,7 +61,7 @@
             return NotRun(NotRunReason.DEADLINE, detail)
         if len(self.running) < self.limit and not self.queue.length:
             return self.admit(request, now)
-        if not self.hopeful(request, now):
+        if not self.can_meet_deadline(request, now):
             return self.refusal(now)
         displaced = self.make_room(request, now)
         if displaced is None:
@@ -117,7 +117,7 @@
         self.running[request.number] = now
         return Admitted(request)
 
-    def hopeful(self, request: AdmissionRequest, now: float) -> bool:
+    def can_meet_deadline(self, request: AdmissionRequest, now: float) -> bool:
         """Return whether a request should finish within its deadline."""
         if self.limit <= 0:
             return False
--- a/packages/jackdawcrank-policy/tests/admission/test_concurrency_limit.py
+++ b/packages/jackdawcrank-policy/tests/admission/test_concurrency_limit.py
@@ -16,7 +16,7 @@
         (0, 0.010, 0.005, 20, 0),
     ],
 )
-def test_the_network_adds_to_the_slots(
+def test_round_trip_raises_limit_above_slots(
     slots: int,
     request_seconds: float,
     round_trip: float,
