--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/__init__.py
@@ -1,4 +1,4 @@
-"""Waiting for a scarce thing, by priority."""
+"""Queueing of statements for connections and send slots, by priority."""
 
 from jackdawcrank_policy.waiting.congestion_window import CongestionWindow
 from jackdawcrank_policy.waiting.overload_detector import (
@@ -14,10 +14,10 @@
 
 __all__ = [
     "OVERLOAD_WAIT_SHARE",
+    "CongestionWindow",
     "OverloadDetector",
+    "PriorityWaitQueue",
     "WaitEntry",
     "WaitEstimator",
     "WaitLimits",
-    "PriorityWaitQueue",
-    "CongestionWindow",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/congestion_window.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/congestion_window.py
@@ -1,29 +1,30 @@
-"""How many statements a server is given at once.
+"""Congestion window for the statements sent to one server.
 
-Answers a server that is full: every refused statement costs it work too, so
-proxies that only repeat keep it full. Each halves its part until the server
-stops refusing, and then feels its way up again.
+A refused statement also costs a full server work, so proxies that only retry
+keep it full. Each proxy reduces its window by a constant factor until the
+server stops refusing, and then increases it gradually.
 """
 
 import attrs
 
-# A window shrinks by this factor when the server refuses: quicker than it
-# grows, as with congestion control.
+# Factor applied on a refusal. The decrease is faster than the increase, as in
+# congestion control.
 DECREASE_FACTOR = 0.7
-# One more statement after about a window of answers divided by this.
+# Increase per window of answers: the window grows by one statement after about
+# 1 / INCREASE_STEP windows.
 INCREASE_STEP = 0.2
-# Refusals of one queue overflow come together and count once.
+# Refusals caused by one queue overflow arrive together and count once.
 DECREASE_INTERVAL_SECONDS = 0.1
 
 
 @attrs.define
 class CongestionWindow:
-    """The statements that may be under way at one server.
+    """Limit on the statements in flight to one server.
 
     Attributes:
-      size: How many; it may lie between two whole numbers.
-      max_size: The greatest size.
-      decreased_at: When it last shrank, in seconds.
+      size: The current limit, as a fraction; `admits` rounds it down.
+      max_size: The upper bound of `size`.
+      decreased_at: When the window was last decreased, in seconds.
     """
 
     size: float
@@ -34,18 +35,18 @@
         """Return whether another statement may be sent.
 
         Args:
-          under_way: How many are under way.
+          under_way: Number of statements in flight.
         """
         return under_way < max(1, int(self.size))
 
     def answered(self) -> None:
-        """Take in an answer."""
+        """Record an answer, which increases the window."""
         self.size = min(
             self.max_size, self.size + INCREASE_STEP / max(1.0, self.size)
         )
 
     def refused(self, now: float) -> None:
-        """Take in that the server was full.
+        """Record a refusal because the server was full.
 
         Args:
           now: The current time in seconds.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/overload_detector.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/overload_detector.py
@@ -1,29 +1,33 @@
-"""How long waiting for a turn makes sense.
-
-Answers an overload that lasts, such as a group whose replicas lag, so that one
-server has the work of three. A burst is worth waiting for: the line is empty
-again soon. A line that stands serves no more statements than a short one, and
-each of them later; so whoever comes to it waits briefly or is refused, while
-its caller has time to come back.
+"""Wait limits for queued statements under sustained overload.
+
+A sustained overload occurs, for example, when the replicas of a group lag and
+one server receives the load of three. A queue that a burst has filled drains
+within about a second, so its statements may use their full deadline. A queue
+that stays non-empty serves no more statements than a short one, and serves each
+of them later. Statements that join it therefore wait only briefly or are
+refused, which leaves their callers time to retry.
 """
 
 import attrs
 
-# The users' bursts are worked off in about the aim of an operation (0.4 to
-# 1 s); a line that has not been empty for longer is no burst.
+# The users' bursts drain within about the target time of an operation (0.4 to
+# 1 s); a queue that stays non-empty is treated as overloaded, not as a burst.
 OVERLOAD_AFTER_SECONDS = 0.5
-# Of a statement's time (0.8 to 3 s); three more tries fit in the rest.
+# Share of a statement's time limit (0.8 to 3 s) that it may wait in an
+# overloaded queue; the rest leaves room for three more attempts.
 OVERLOAD_WAIT_SHARE = 0.25
 
 
 @attrs.frozen
 class WaitLimits:
-    """How a statement may wait.
+    """How long a statement may wait in a queue.
 
     Attributes:
-      priority: 0 goes first.
-      deadline: When it must have been sent; seconds on a monotonic clock.
-      overload_deadline: When it must have been sent if the line is standing.
+      priority: Lower values are served first; new work starts at 0.
+      deadline: Latest time to send the statement, in seconds on a monotonic
+        clock.
+      overload_deadline: Latest time to send it if the queue is overloaded, on
+        the same clock.
     """
 
     priority: int
@@ -33,11 +37,11 @@
 
 @attrs.define
 class OverloadDetector:
-    """Tells a line that stands from one that a burst has left.
+    """Distinguishes a sustained overload from a burst.
 
     Attributes:
-      nonempty_since: Since when newcomers have found somebody waiting; None if
-        the latest one did not.
+      nonempty_since: Since when arriving statements have found the queue
+        non-empty, in seconds; None if the latest one found it empty.
     """
 
     nonempty_since: float | None = None
@@ -45,12 +49,14 @@
     def wait_deadline(
         self, now: float, waiting: int, limits: WaitLimits
     ) -> float:
-        """Return until when a newcomer should wait.
+        """Return how long an arriving statement may wait, as a point in time.
+
+        Records whether the statement found the queue empty.
 
         Args:
           now: The current time in seconds.
-          waiting: Who waits already.
-          limits: How the newcomer may wait.
+          waiting: Number of statements that are already waiting.
+          limits: The wait limits of the arriving statement.
         """
         if not waiting:
             self.nonempty_since = None
@@ -63,7 +69,7 @@
         )
 
     def is_overloaded(self, now: float) -> bool:
-        """Return whether the line has not been empty for long.
+        """Return whether the queue has been non-empty for too long.
 
         Args:
           now: The current time in seconds.
@@ -71,7 +77,7 @@
         return self.nonempty_seconds(now) >= OVERLOAD_AFTER_SECONDS
 
     def nonempty_seconds(self, now: float) -> float:
-        """Return for how long newcomers have found somebody waiting.
+        """Return how long arrivals have found the queue non-empty, in seconds.
 
         Args:
           now: The current time in seconds.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/priority_wait_queue.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/priority_wait_queue.py
@@ -1,4 +1,4 @@
-"""A line that serves the most urgent first."""
+"""A queue that is ordered by priority, then by arrival."""
 
 import heapq
 import itertools
@@ -11,14 +11,14 @@
 
 @attrs.define(eq=False)
 class WaitEntry(typing.Generic[T]):
-    """One place in a line.
+    """One entry of a queue.
 
     Attributes:
-      priority: 0 goes first.
-      deadline: When waiting on is no use; seconds on a monotonic clock.
-      number: Orders places of one priority by arrival.
-      item: Who waits.
-      removed: Whether the place was given up.
+      priority: Lower values are served first; new work starts at 0.
+      deadline: When the entry expires, in seconds on a monotonic clock.
+      number: Arrival number, which orders entries of equal priority.
+      item: The waiting item.
+      removed: Whether the entry has been cancelled, served or cleared.
     """
 
     priority: int
@@ -35,13 +35,13 @@
 class PriorityWaitQueue(typing.Generic[T]):
     """Statements that wait for a connection of one server.
 
-    Answers the load of a burst or of a slow server: the more urgent kind goes
-    first, and whoever cannot be served in time is told at once.
+    During a burst or with a slow server, statements of higher priority are
+    served first and expired ones are skipped.
 
     Attributes:
-      heap: The places, those given up included until they come up.
+      heap: The entries, including cancelled ones until they reach the top.
       numbers: The source of arrival numbers.
-      length: Places that are not given up.
+      length: Number of entries that are still waiting.
     """
 
     heap: list[WaitEntry[T]] = attrs.Factory(list)
@@ -49,12 +49,12 @@
     length: int = 0
 
     def enqueue(self, priority: int, deadline: float, item: T) -> WaitEntry[T]:
-        """Take a place at the end of a priority.
+        """Add an item behind all others of its priority.
 
         Args:
-          priority: 0 goes first.
-          deadline: When waiting on is no use, in seconds.
-          item: Who waits.
+          priority: Lower values are served first.
+          deadline: When the entry expires, in seconds on a monotonic clock.
+          item: The waiting item.
         """
         entry = WaitEntry(priority, deadline, next(self.numbers), item)
         heapq.heappush(self.heap, entry)
@@ -62,10 +62,10 @@
         return entry
 
     def ahead_of(self, priority: int) -> int:
-        """Return how many would be served before a newcomer.
+        """Return how many entries would be served before a new one.
 
         Args:
-          priority: The newcomer's.
+          priority: The priority of the new entry.
         """
         return sum(
             not entry.removed and entry.priority <= priority
@@ -73,17 +73,17 @@
         )
 
     def cancel(self, entry: WaitEntry[T]) -> None:
-        """Give a place up.
+        """Remove an entry from the queue; does nothing if it is removed.
 
         Args:
-          entry: The place.
+          entry: The entry to remove.
         """
         if not entry.removed:
             entry.removed = True
             self.length -= 1
 
     def pop(self, now: float) -> WaitEntry[T] | None:
-        """Return who comes next and may still be served, or None.
+        """Remove and return the next entry that has not expired, or None.
 
         Args:
           now: The current time in seconds.
@@ -99,7 +99,7 @@
         return None
 
     def clear(self) -> list[T]:
-        """Empty the line and return everybody who waited."""
+        """Remove all entries and return the items that were waiting."""
         items = [entry.item for entry in self.heap if not entry.removed]
         for entry in self.heap:
             entry.removed = True
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/wait_estimator.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/waiting/wait_estimator.py
@@ -1,42 +1,43 @@
-"""Whether a turn comes in time.
+"""Estimate of the wait for a connection.
 
-Answers the load of a burst or of slow servers: a statement whose turn cannot
-come within its time is refused at once, while its caller can still be served
-elsewhere or come back later.
+During a burst or with slow servers, a statement whose estimated wait exceeds
+its deadline is refused at once, while its caller can still use another server
+or retry later.
 """
 
 import attrs
 
-# A connection is lent for a statement or a transaction; one in ten moves the
-# smoothed time, as with a server's answers.
+# Weight of one sample in the moving average of hold times; the same as for a
+# server's answers. A connection is held for a statement or a transaction.
 HOLD_TIME_WEIGHT = 0.1
-# Before the first loan ended: our users' mean work of 30 ms and a round trip.
+# Estimate before the first sample: the users' mean execution time of 30 ms and
+# a round trip.
 INITIAL_HOLD_SECONDS = 0.05
 
 
 @attrs.define
 class WaitEstimator:
-    """How long connections of one server are lent.
+    """Estimates waits from how long connections of one server are held.
 
     Attributes:
-      hold_seconds: The smoothed time of one loan.
+      hold_seconds: Moving average of the hold time.
     """
 
     hold_seconds: float = INITIAL_HOLD_SECONDS
 
     def record_hold(self, seconds: float) -> None:
-        """Take in the end of a loan.
+        """Record how long a connection was held.
 
         Args:
-          seconds: How long it was.
+          seconds: The hold time.
         """
         self.hold_seconds += HOLD_TIME_WEIGHT * (seconds - self.hold_seconds)
 
     def wait_seconds(self, ahead: int, connections: int) -> float:
-        """Return how long a newcomer should wait for a connection.
+        """Return the expected wait for a connection, in seconds.
 
         Args:
-          ahead: Who is served before it.
-          connections: Connections that are lent.
+          ahead: Number of statements that are served first.
+          connections: Number of connections that serve the queue.
         """
         return (ahead + 1) * self.hold_seconds / max(1, connections)
--- a/packages/jackdawcrank-policy/tests/waiting/test_congestion_window.py
+++ b/packages/jackdawcrank-policy/tests/waiting/test_congestion_window.py
@@ -26,14 +26,14 @@
 
 
 def simulate(limited: bool) -> tuple[float, float]:
-    """Play ten homes before a server with 6 slots and a queue of 48.
+    """Simulate ten homes that share a server with 6 slots and a queue of 48.
 
-    Each home has more to send than the server can do; a refused statement is
-    sent again after 30 ms.
+    Each home has more statements than the server can run; a refused statement
+    is sent again after 30 ms.
 
     Returns:
-      Refusals for each statement that was served, and the share of the
-      server's slots that worked.
+      The refusals per served statement, and the mean share of the server's
+      slots that were busy.
     """
     rng = random.Random(5)
     windows = [
--- a/packages/jackdawcrank-policy/tests/waiting/test_overload_detector.py
+++ b/packages/jackdawcrank-policy/tests/waiting/test_overload_detector.py
@@ -38,12 +38,12 @@
 
 @attrs.frozen
 class SimulationResult:
-    """What callers got, as shares of those who asked.
+    """Results for the callers, as shares of all statements.
 
     Attributes:
-      in_target: Answered within the aim of an operation.
-      served: Answered at all.
-      mean_refusal_seconds: The mean time until a refusal.
+      in_target: Share answered within the target time of an operation.
+      served: Share answered at all.
+      mean_refusal_seconds: Mean time until a refusal, in seconds.
     """
 
     in_target: float
@@ -52,7 +52,7 @@
 
 
 def arrivals_at(*phases: tuple[float, float]) -> list[float]:
-    """Return when statements come, for spells of seconds and a rate."""
+    """Return arrival times for phases of a duration and a rate each."""
     arrivals: list[float] = []
     begin = 0.0
     for seconds, rate in phases:
@@ -62,7 +62,7 @@
 
 
 def simulate(arrivals: list[float], limit_waits: bool) -> SimulationResult:
-    """Play statements before a server of three slots."""
+    """Simulate statements that wait for a server with three slots."""
     queue: PriorityWaitQueue[int] = PriorityWaitQueue()
     detector, estimator = (
         OverloadDetector(),
@@ -106,7 +106,7 @@
 
 
 def test_sustained_overload_is_served_in_time_or_refused_early() -> None:
-    # Thirty a second can be served; fifty come for ten seconds.
+    # Capacity is 30 statements a second; 50 a second arrive for ten seconds.
     arrivals = arrivals_at((1.0, 20.0), (10.0, 50.0), (1.0, 20.0))
     before, after = (
         simulate(arrivals, limit_waits=False),
@@ -114,7 +114,7 @@
     )
     assert after.in_target >= 0.6
     assert after.in_target >= before.in_target + 0.3
-    # Whoever is served is served in time.
+    # Every statement that is served is served in time.
     assert after.served == after.in_target
     assert after.mean_refusal_seconds <= TARGET_SECONDS / 4
 
--- a/packages/jackdawcrank-policy/tests/waiting/test_wait_estimator.py
+++ b/packages/jackdawcrank-policy/tests/waiting/test_wait_estimator.py
@@ -17,11 +17,12 @@
 
 
 def simulate(rate: float, refuse: bool) -> tuple[float, float, float]:
-    """Play statements of 100 ms over three connections.
+    """Simulate statements of 100 ms over three connections.
 
     Returns:
-      The share that had its answer within the second that each may take, the
-      share of the urgent tenth that had, and the mean time until a refusal.
+      The share of statements answered within their limit of one second, the
+      same share among the urgent tenth, and the mean time until a refusal in
+      seconds.
     """
     estimator = WaitEstimator(0.1)
     queue: PriorityWaitQueue[int] = PriorityWaitQueue()
@@ -73,11 +74,11 @@
 
 
 def test_double_load_is_served_to_capacity_and_refused_at_once() -> None:
-    # Three connections do 30 a second; 60 come.
+    # Three connections serve 30 statements a second; 60 a second arrive.
     served, urgent, refused_after = simulate(rate=60.0, refuse=True)
     assert served >= 0.48
     assert urgent == 1.0
-    # A refusal is late after a quarter of the aim, a second here.
+    # A refusal counts as late after a quarter of the target time of one second.
     assert refused_after <= 0.25
 
 
