--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/__init__.py
@@ -1,4 +1,4 @@
-"""Replacing the primary of a group whose servers fence themselves."""
+"""Replacement of the primary of a group whose servers fence themselves."""
 
 from jackdawcrank_policy.succession.choose_successor import (
     FrozenServer,
@@ -23,8 +23,8 @@
     "FrozenServer",
     "NoSuccessor",
     "PrimarySuspicion",
-    "SwitchoverTrigger",
     "Successor",
+    "SwitchoverTrigger",
     "choose_successor",
     "next_claim",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/choose_successor.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/choose_successor.py
@@ -1,4 +1,4 @@
-"""Which replica may follow a primary without losing a commit."""
+"""Choice of the replica to promote without losing a commit."""
 
 from collections.abc import Collection, Iterable
 
@@ -9,13 +9,14 @@
 
 @attrs.frozen
 class FrozenServer:
-    """A replica that has stopped to receive from the primary.
+    """A replica that has stopped receiving from the primary.
 
     Attributes:
-      server_id: Its name.
-      position: The last entry that it received.
+      server_id: The server's name.
+      position: The last log entry that it received.
       leaving: Whether it is shutting down.
-      distance: How far it is; the nearest is preferred among equals.
+      distance: Network distance; among equal candidates the lowest is
+        preferred.
     """
 
     server_id: str
@@ -29,8 +30,8 @@
     """The replica to promote.
 
     Attributes:
-      server_id: Its name.
-      position: The last entry that it holds.
+      server_id: The server's name.
+      position: The last log entry that it holds.
     """
 
     server_id: str
@@ -42,7 +43,8 @@
     """No replica may be promoted.
 
     Attributes:
-      missing: Replicas that were not frozen and may hold a commit alone.
+      missing: Replicas that were not frozen and may be the only ones to hold a
+        commit.
     """
 
     missing: tuple[str, ...]
@@ -55,14 +57,16 @@
 ) -> Successor | NoSuccessor:
     """Return the replica that holds every acknowledged commit.
 
-    A commit is on at least `confirming` replicas before it is acknowledged.
-    If fewer than that many replicas are missing, one of the frozen ones holds
-    it; logs are prefixes of each other, so the longest one holds all.
+    A commit is acknowledged after at least `confirming` replicas have received
+    it. If fewer replicas than that are missing, at least one frozen replica
+    holds the commit. Logs are prefixes of each other, so the longest log holds
+    every acknowledged commit.
 
     Args:
-      frozen: The replicas that have stopped to receive.
+      frozen: The replicas that have stopped receiving.
       replicas: All replicas that may have received a commit.
-      confirming: Replicas that have a commit before it is acknowledged.
+      confirming: Number of replicas that must receive a commit before it is
+        acknowledged.
     """
     by_id = {server.server_id: server for server in frozen}
     missing = tuple(sorted(set(replicas) - by_id.keys()))
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/claim.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/claim.py
@@ -1,22 +1,23 @@
-"""The right to replace a group's primary."""
+"""Claims, which grant the right to replace a group's primary."""
 
 import attrs
 
-# A hand-over takes a second or two; a holder that froze or was killed is
-# passed over after this long.
+# A succession takes one to two seconds. After this time a holder that hangs or
+# was killed no longer blocks others.
 CLAIM_TTL_SECONDS = 3.0
 
 
 @attrs.frozen
 class Claim:
-    """The row in the store that says who replaces a group's primary.
+    """The row in the store that records who replaces a group's primary.
 
     Attributes:
-      token: Grows with each claim; the authority refuses lower ones.
-      holder: The proxy process that made it.
+      token: Fencing token, which increases with each claim; the authority
+        refuses lower tokens.
+      holder: The proxy process that made the claim.
       replaced: The primary that is to be replaced.
-      claimed_at: When, in seconds on the store's clock.
-      settled: Whether no order of this claim can be carried out any more.
+      claimed_at: When the claim was made, in seconds on the store's clock.
+      settled: Whether no order under this claim can take effect any more.
     """
 
     token: int
@@ -29,11 +30,14 @@
 def next_claim(
     present: Claim | None, holder: str, replaced: str, now: float
 ) -> Claim | None:
-    """Return the claim to write, or None while another one is in force.
+    """Return the claim to write, or None while another claim is in force.
+
+    A claim from the future does not block, since the store's clock may have
+    been reset.
 
     Args:
       present: The claim in the store, if any.
-      holder: The proxy process that wants to act.
+      holder: The proxy process that requests the claim.
       replaced: The primary that is to be replaced.
       now: The current time in seconds on the store's clock.
     """
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/primary_suspicion.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/succession/primary_suspicion.py
@@ -1,44 +1,45 @@
-"""When a primary is taken to be lost."""
+"""Suspicion of a failed primary, from refusals, time-outs and writes."""
 
 import enum
 
 import attrs
 
-# A primary that restarts at once refuses connections for a few hundred ms.
+# A primary that restarts immediately refuses connections for a few hundred ms.
 MIN_REFUSED_SECONDS = 0.3
-# Twice the time that a question without a slot may take (0.4 s). A full or slow
-# server answers that one, so the longest work does not count.
+# Twice the time limit of a status request that needs no slot (0.4 s). Even a
+# full or slow server answers it, so long-running statements are irrelevant.
 MIN_SILENT_SECONDS = 0.8
-# Writes that wait for a replica's receipt; longer than the widest round trip
-# and the longest work, for two different writes.
+# For writes that wait for a replica's confirmation; longer than the longest
+# round trip and the longest execution time, for two different writes.
 MIN_UNCONFIRMED_SECONDS = 1.0
-# A single failure may be a lost answer.
+# A single failure may be a lost response.
 MIN_FAILURES = 2
 
 
 class FailureKind(enum.Enum):
-    """What is wrong with a primary."""
+    """Kind of failure that a primary is suspected of."""
 
     NONE = "none"
     REFUSING = "refusing"
-    """Its host answers that nobody listens."""
+    """The host refuses connections because no process listens."""
     SILENT = "silent"
-    """Nothing answers."""
+    """Requests get no answer."""
     UNCONFIRMED = "unconfirmed"
-    """It answers, but its writes are not acknowledged."""
+    """It answers, but does not acknowledge writes."""
 
 
 @attrs.define
 class PrimarySuspicion:
-    """Evidence against one primary, since its last answer.
+    """Evidence that one primary has failed, since its last answer.
 
     Attributes:
-      refused: Connections that were refused or cut.
-      refused_at: When the first of them was.
-      silent: Questions that got no answer.
-      silent_at: When the first of them was given up.
-      unconfirmed: Writes that got no answer while others did.
-      unconfirmed_at: When the first of them was sent.
+      refused: Number of connections that were refused or reset.
+      refused_at: When the first of them was refused, in seconds.
+      silent: Number of requests that got no answer.
+      silent_at: When the first of them was sent, in seconds.
+      unconfirmed: Number of writes without an answer since the last
+        acknowledged commit.
+      unconfirmed_at: When the first of them was sent, in seconds.
     """
 
     refused: int = 0
@@ -49,17 +50,17 @@
     unconfirmed_at: float = 0.0
 
     def answered(self) -> None:
-        """Take in an answer to any question."""
+        """Record an answer to any request."""
         self.refused = 0
         self.silent = 0
 
     def commit_acknowledged(self) -> None:
-        """Take in an acknowledged commit."""
+        """Record an acknowledged commit."""
         self.answered()
         self.unconfirmed = 0
 
     def connection_refused(self, now: float) -> None:
-        """Take in a refused or cut connection.
+        """Record a refused or reset connection.
 
         Args:
           now: The current time in seconds.
@@ -69,17 +70,17 @@
         self.refused += 1
 
     def request_timed_out(self, sent_at: float) -> None:
-        """Take in a question without an answer.
+        """Record a request without an answer.
 
         Args:
-          sent_at: When the question was sent, in seconds.
+          sent_at: When the request was sent, in seconds.
         """
         if not self.silent:
             self.silent_at = sent_at
         self.silent += 1
 
     def write_unconfirmed(self, sent_at: float) -> None:
-        """Take in a write that was not acknowledged.
+        """Record a write that was not acknowledged.
 
         Args:
           sent_at: When the write was sent, in seconds.
@@ -93,7 +94,7 @@
         return bool(self.refused or self.silent or self.unconfirmed)
 
     def suspected_failure(self, now: float) -> FailureKind:
-        """Return what is wrong, once it is sure enough to act on.
+        """Return the failure that the evidence suffices for, or `NONE`.
 
         Args:
           now: The current time in seconds.
