--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/__init__.py
@@ -1,4 +1,4 @@
-"""Suspecting a primary: from missed deadlines to a common judgement."""
+"""Failure detection for primaries, from missed deadlines to a judgement."""
 
 from jackdawcrank_policy.detection.judge import (
     Judgement,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/judge.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/judge.py
@@ -1,4 +1,4 @@
-"""The common judgement on a primary from several proxies' evidence."""
+"""Judgement on a primary, combined from the evidence of several proxies."""
 
 import enum
 from collections.abc import Iterable
@@ -15,12 +15,12 @@
     """What the homes of a group conclude about its primary.
 
     Attributes:
-      HEALTHY: It serves.
-      SLOW: It serves, late.
-      UNCERTAIN: Too few proxies can tell.
-      PARTITIONED: Most proxies have lost it, some still reach it.
-      FAILED: No proxy that can tell reaches it. A paused server looks the
-        same until it resumes.
+      HEALTHY: It serves statements.
+      SLOW: It serves statements, but answers late.
+      UNCERTAIN: Too few proxies have conclusive evidence.
+      PARTITIONED: Most proxies cannot reach it, some still can.
+      FAILED: No proxy with conclusive evidence reaches it. A paused server
+        cannot be distinguished from a failed one until it resumes.
     """
 
     HEALTHY = "healthy"
@@ -38,12 +38,12 @@
 def judge(evidence: Iterable[PrimaryEvidence], primary: str) -> Judgement:
     """Combine the evidence of the homes that can be reached.
 
-    At least two homes have to suspect the primary, or all that answered if
-    those are fewer, and more have to suspect it than reach it.
+    A failure requires that at least two homes suspect the primary, or all that
+    answered if they are fewer, and that more homes suspect it than reach it.
 
     Args:
-      evidence: One entry for each home that answered, the own included.
-      primary: The primary in question; evidence on another is ignored.
+      evidence: One entry for each home that answered, including this one.
+      primary: The primary to judge; evidence on any other is ignored.
     """
     healths = [entry.health for entry in evidence if entry.primary == primary]
     conclusive = [
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_detector.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_detector.py
@@ -1,4 +1,4 @@
-"""A detector of failed primaries by missed deadlines."""
+"""Detector of failed primaries, based on missed deadlines."""
 
 import collections
 
@@ -20,20 +20,22 @@
 
 @attrs.define
 class PrimaryDetector:
-    """Judges one primary by the probes and statements sent to it.
+    """Rates one primary by the probes and statements sent to it.
 
-    An answer counts from the time at which its request was sent, so an
-    answer that a paused process reads late proves nothing about the present.
+    An answer counts from the time when its request was sent. An answer that a
+    paused process reads late is therefore no evidence of the present state.
 
     Attributes:
-      suspect_after: The silence, in seconds, that makes a primary suspect.
-      min_misses: The deadlines in a row that it has to miss as well.
+      suspect_after: Time without an answer before the primary is suspected, in
+        seconds.
+      min_misses: Consecutive missed deadlines that are also required.
       answered_at: When the newest answered request was sent, in seconds.
-      misses: Deadlines missed in a row.
-      refusals: Connections refused in a row.
-      latencies: The newest answers' latencies in seconds; a miss is recorded
-        as its time-out.
-      others_answer_at: When another server of the group last answered.
+      misses: Consecutive missed deadlines.
+      refusals: Consecutive refused connections.
+      latencies: Latencies of the newest answers in seconds; a miss is recorded
+        with the time until its time-out.
+      others_answer_at: When the newest answered request to another server of
+        the group was sent, in seconds.
     """
 
     suspect_after: float = SUSPECT_AFTER_SECONDS
@@ -47,7 +49,7 @@
     others_answer_at: float | None = None
 
     def reset(self, now: float) -> None:
-        """Start over for a new primary, which has a full silence to answer.
+        """Start over for a new primary, with the full time to answer.
 
         Args:
           now: The time at which it became primary, in seconds.
@@ -62,7 +64,7 @@
 
         Args:
           sent_at: When the request was sent, in seconds.
-          answered_at: When its answer was read.
+          answered_at: When its answer was read, in seconds.
         """
         self.answered_at = max(sent_at, self.answered_at or sent_at)
         self.misses = 0
@@ -74,7 +76,7 @@
 
         Args:
           sent_at: When the request was sent, in seconds.
-          now: When it was given up.
+          now: When its deadline passed, in seconds.
         """
         if self.answered_at is None:
             self.answered_at = sent_at
@@ -87,7 +89,7 @@
         """Record a connection that the primary's host refused or reset.
 
         Args:
-          sent_at: When the connection was tried, in seconds.
+          sent_at: When the connection was attempted, in seconds.
         """
         if self.answered_at is None:
             self.answered_at = sent_at
@@ -103,14 +105,14 @@
         self.others_answer_at = max(sent_at, self.others_answer_at or sent_at)
 
     def silent_seconds(self, now: float) -> float:
-        """Return the time since an answered request was sent."""
+        """Return the time since the newest answered request, in seconds."""
         return 0.0 if self.answered_at is None else now - self.answered_at
 
     def health(self, now: float) -> PrimaryHealth:
-        """Return how the primary looks.
+        """Return the health of the primary as seen by this proxy.
 
         Args:
-          now: The present time, in seconds.
+          now: The current time in seconds.
         """
         if self.answered_at is None:
             return PrimaryHealth.UNKNOWN
@@ -124,13 +126,13 @@
         return PrimaryHealth.HEALTHY
 
     def corroborating_health(self, now: float) -> PrimaryHealth:
-        """Return how the primary looks to a proxy asked by a suspecting one.
+        """Return the health to report to a proxy that suspects the primary.
 
-        A proxy that was asked has just probed; one missed deadline is enough
-        to support a suspicion that another proxy has formed in full.
+        This proxy has just sent a probe. A single missed deadline is enough to
+        corroborate a suspicion that meets all criteria on another proxy.
 
         Args:
-          now: The present time, in seconds.
+          now: The current time in seconds.
         """
         health = self.health(now)
         if health is not PrimaryHealth.SLOW or not self.misses:
@@ -142,7 +144,7 @@
     def health_unless_cut_off(
         self, health: PrimaryHealth, now: float
     ) -> PrimaryHealth:
-        """Return the health, or that this proxy seems to be cut off."""
+        """Return the health, or `CUT_OFF` if no other server answers either."""
         last_answer_at = self.others_answer_at
         if (
             last_answer_at is not None
@@ -152,7 +154,7 @@
         return PrimaryHealth.CUT_OFF
 
     def is_slow(self) -> bool:
-        """Return whether half of the newest answers were late."""
+        """Return whether more than half of the newest answers were late."""
         late = sum(
             1 for latency in self.latencies if latency > SLOW_ANSWER_SECONDS
         )
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_evidence.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_evidence.py
@@ -1,4 +1,4 @@
-"""What one proxy has seen of a group's primary."""
+"""Evidence that one proxy has on a group's primary."""
 
 import enum
 
@@ -6,16 +6,16 @@
 
 
 class PrimaryHealth(enum.StrEnum):
-    """How a primary looks to one proxy.
+    """Health of a primary as seen by one proxy.
 
     Attributes:
-      UNKNOWN: Nothing was seen yet.
+      UNKNOWN: No request has been sent yet.
       HEALTHY: It answers in time.
-      SLOW: It answers, but late or with some deadlines missed.
-      SUSPECT: It has been silent for too long.
-      REFUSING: Its host refuses connections: the process is gone.
-      CUT_OFF: It is silent and so is every other server of the group, so the
-        proxy may itself be the one that is cut off.
+      SLOW: It answers, but late or with missed deadlines.
+      SUSPECT: It has not answered for too long.
+      REFUSING: Its host refuses connections, so its process has ended.
+      CUT_OFF: Neither it nor any other server of the group answers, so this
+        proxy itself may be cut off from the network.
     """
 
     UNKNOWN = "unknown"
@@ -27,7 +27,7 @@
 
     @property
     def is_suspicious(self) -> bool:
-        """Return whether the primary is held to have failed."""
+        """Return whether the primary is suspected to have failed."""
         return self in (PrimaryHealth.SUSPECT, PrimaryHealth.REFUSING)
 
     @property
@@ -44,9 +44,9 @@
       vm: The VM of the proxy.
       group: The group's name.
       term: The newest term that the VM knows.
-      primary: The primary that the evidence is about.
-      health: How it looks.
-      silent_seconds: The time since an answered request was sent.
+      primary: The primary that the evidence concerns.
+      health: Its health as seen by the proxy.
+      silent_seconds: The time since the newest answered request was sent.
       coordinating: Whether the VM is driving a promotion of the group.
     """
 
@@ -60,5 +60,5 @@
 
     @property
     def is_suspicious(self) -> bool:
-        """Return whether the VM holds the primary to have failed."""
+        """Return whether the VM suspects the primary to have failed."""
         return self.health.is_suspicious
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/promotion_backoff.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/promotion_backoff.py
@@ -1,4 +1,4 @@
-"""Back-off between the promotions of one group."""
+"""Exponential back-off between the promotions of one group."""
 
 import attrs
 
@@ -10,32 +10,34 @@
 
 @attrs.define
 class PromotionBackoff:
-    """Keeps a group's primary from moving back and forth.
+    """Prevents a group's primary from flapping between servers.
 
-    The first promotions within `PROMOTION_WINDOW_SECONDS` follow each other at
-    once, so that a second failure is repaired as fast as the first; then the
-    pause before the next one doubles.
+    The first `PROMOTIONS_WITHOUT_BACKOFF` promotions within
+    `PROMOTION_WINDOW_SECONDS` are not delayed, so that a second failure is
+    repaired as fast as the first. After that, the pause before each further
+    promotion doubles.
 
     Attributes:
-      promoted_at: When the recent unplanned promotions were seen, in seconds.
+      promoted_at: When the recent unplanned promotions were observed, in
+        seconds.
     """
 
     promoted_at: list[float] = attrs.field(factory=list)
 
     def promoted(self, now: float) -> None:
-        """Record an unplanned promotion, whoever drove it.
+        """Record an unplanned promotion, regardless of its coordinator.
 
         Args:
-          now: When it was seen, in seconds.
+          now: When it was observed, in seconds.
         """
         self.remove_expired(now)
         self.promoted_at.append(now)
 
     def ready_at(self, now: float) -> float:
-        """Return the time from which another promotion may start.
+        """Return the earliest time of the next promotion, in seconds.
 
         Args:
-          now: The present time, in seconds.
+          now: The current time in seconds.
         """
         self.remove_expired(now)
         extra = len(self.promoted_at) - PROMOTIONS_WITHOUT_BACKOFF
@@ -48,6 +50,6 @@
         return max(now, self.promoted_at[-1] + pause)
 
     def remove_expired(self, now: float) -> None:
-        """Drop promotions that are too old to count."""
+        """Remove promotions that are older than the window."""
         cutoff = now - PROMOTION_WINDOW_SECONDS
         self.promoted_at = [at for at in self.promoted_at if at > cutoff]
--- a/packages/jackdawcrank-policy/tests/detection/test_judge.py
+++ b/packages/jackdawcrank-policy/tests/detection/test_judge.py
@@ -1,4 +1,4 @@
-"""The homes' common judgement."""
+"""Tests of the judgement that combines the evidence of the homes."""
 
 import pytest
 
--- a/packages/jackdawcrank-policy/tests/detection/test_primary_detector.py
+++ b/packages/jackdawcrank-policy/tests/detection/test_primary_detector.py
@@ -1,4 +1,4 @@
-"""Suspecting a primary by missed deadlines."""
+"""Tests of failure detection by missed deadlines."""
 
 import pytest
 
--- a/packages/jackdawcrank-policy/tests/detection/test_promotion_backoff.py
+++ b/packages/jackdawcrank-policy/tests/detection/test_promotion_backoff.py
@@ -1,4 +1,4 @@
-"""Back-off between promotions."""
+"""Tests of the back-off between promotions."""
 
 from jackdawcrank_policy.detection import PromotionBackoff
 
