--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Which server a statement goes to."""
+"""Selection of the server for a statement."""
 
 from jackdawcrank_policy.placement.choose_server import (
     Distance,
@@ -7,4 +7,4 @@
 )
 from jackdawcrank_policy.placement.server_condition import ServerCondition
 
-__all__ = ["ServerCandidate", "Distance", "ServerCondition", "choose_server"]
+__all__ = ["Distance", "ServerCandidate", "ServerCondition", "choose_server"]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/choose_server.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/choose_server.py
@@ -1,8 +1,8 @@
-"""The choice among servers that may run a read.
+"""Selection of a server for a read.
 
-Answers the daily peak and bursts: replicas take the reads that they can be
-proved to answer, the nearest first, until they are slower than a server
-farther off.
+At the daily peak and during bursts, replicas serve the reads whose position
+they are known to have. Nearer replicas are preferred until they become slower
+than a more distant server.
 """
 
 import enum
@@ -15,24 +15,24 @@
 
 
 class Distance(enum.IntEnum):
-    """How far a server is from this proxy."""
+    """Network distance between a server and this proxy."""
 
     DATA_CENTER = 0
     REGION = 1
     ELSEWHERE = 2
 
 
-# What a statement should take on a server that has not answered yet: the
-# users' mean work of 30 ms and their round trips of 0.4, 3 and 16 to 40 ms.
+# Expected time of a statement on a server that has not answered yet: the users'
+# mean execution time of 30 ms and their round trips of 0.4, 3 and 16 to 40 ms.
 INITIAL_ESTIMATE_SECONDS = {
     Distance.DATA_CENTER: 0.030,
     Distance.REGION: 0.033,
     Distance.ELSEWHERE: 0.060,
 }
-# Bytes between regions cost our users about as much as 10 ms of latency.
+# Traffic between regions costs the users about as much as 10 ms of latency.
 REGION_PENALTY_SECONDS = 0.010
-# Writes and a quarter of the reads can go nowhere else; a read that can is sent
-# to the primary only where the replicas are clearly slower.
+# Writes and a quarter of the reads can only run on the primary. Other reads are
+# sent to it only if the replicas are clearly slower.
 PRIMARY_FACTOR = 2.0
 
 
@@ -41,11 +41,11 @@
     """A server that may run a read.
 
     Attributes:
-      server_id: Its name.
-      distance: How far it is.
-      slots: Statements that it runs at once.
-      condition: What is known of it.
-      waiting: Statements that wait here for a connection to it.
+      server_id: The server's name.
+      distance: Its network distance from this proxy.
+      slots: Number of statements that it runs concurrently.
+      condition: Its state as observed by this proxy.
+      waiting: Number of statements that wait here for a connection to it.
     """
 
     server_id: str
@@ -61,13 +61,14 @@
     needed: Position | None,
     primary: str | None,
 ) -> str | None:
-    """Return the server that should answer first, or None.
+    """Return the server that is expected to answer first, or None.
 
     Args:
-      candidates: The servers that may run it.
+      candidates: The servers that may run the read.
       now: The current time in seconds.
-      needed: The position that a replica must have; None if any will do.
-      primary: The candidate that needs no proof of its position, if any.
+      needed: The position that a replica must have; None if there is none.
+      primary: The candidate that is the primary and whose position is not
+        checked, if any.
     """
     available = [
         candidate
@@ -99,7 +100,7 @@
     Args:
       candidate: The replica.
       now: The current time in seconds.
-      needed: The position.
+      needed: The position; None if there is no requirement.
     """
     condition = candidate.condition
     if needed is None:
@@ -110,7 +111,7 @@
 
 
 def expected_seconds(candidate: ServerCandidate, now: float) -> float:
-    """Return how long a read should take at a candidate, in seconds.
+    """Return the expected time of a read on a candidate, in seconds.
 
     Args:
       candidate: The server.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/server_condition.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/server_condition.py
@@ -1,4 +1,4 @@
-"""What this proxy knows of a server from its own statements."""
+"""State of a server as observed through this proxy's statements."""
 
 import math
 
@@ -6,38 +6,39 @@
 
 from jackdawcrank_policy.values.position import Position
 
-# The weight of one answer: with work that varies by 0.7 of its mean, the
-# smoothed time then varies by about 0.15 of it.
+# Weight of one answer in the moving average. If execution times deviate by 0.7
+# of their mean, the average then deviates by about 0.15 of it.
 ANSWER_WEIGHT = 0.1
-# Answers given up are rare and tell much: three of them move the smoothed time
-# most of the way.
+# Time-outs are rare and significant: three of them move the average most of the
+# way.
 TIMEOUT_WEIGHT = 0.3
-# After this long without answers half of a server's excess is forgotten, so a
-# server that was slow is tried again within seconds.
+# Without answers, the excess of a server's average over its best time halves in
+# this time, so a slow server is tried again within seconds.
 DECAY_HALF_LIFE_SECONDS = 2.0
-# The first pause after an unreachable or overloaded server, doubled each time.
+# First back-off of an unreachable or overloaded server; doubles each time.
 INITIAL_BACKOFF_SECONDS = 0.1
-# One server out of three may be missed for this long after it is back.
+# After its recovery, one of three servers may remain unused for this long.
 MAX_BACKOFF_SECONDS = 1.0
-# The first pause after a replica lacked a position: about the lag (60 ms).
+# First back-off of a replica that lacked a position: about the usual lag of
+# 60 ms.
 INITIAL_LAG_BACKOFF_SECONDS = 0.06
 
 
 @attrs.define
 class ServerCondition:
-    """Times, failures and lag of one server as seen from one proxy.
+    """Times, failures and lag of one server as observed by one proxy.
 
     Attributes:
-      running: This proxy's statements under way there.
-      seconds: The smoothed time of a statement, network included; None before
-        the first answer.
-      best_seconds: The shortest smoothed time seen.
-      answered_at: When the last answer came.
-      failures: Failures in a row.
-      avoid_until: Until when it gets no work that another server can do.
-      lag_failures: How often in a row it lacked a position.
-      lagging_until: Until when it is taken to lag.
-      position: The greatest log position that it has shown.
+      running: Number of this proxy's statements in progress on it.
+      seconds: Moving average of a statement's time including the network; None
+        before the first answer.
+      best_seconds: Lowest value of that average.
+      answered_at: When the last answer arrived, in seconds.
+      failures: Consecutive failures.
+      avoid_until: Until when other servers are preferred, in seconds.
+      lag_failures: Consecutive reads whose position it lacked.
+      lagging_until: Until when it is assumed to lag, in seconds.
+      position: The highest log position that it has reported.
     """
 
     running: int = 0
@@ -51,7 +52,7 @@
     position: Position | None = None
 
     def answered(self, seconds: float, now: float) -> None:
-        """Take in an answer.
+        """Record an answer.
 
         Args:
           seconds: The time that the statement took.
@@ -65,21 +66,21 @@
         self.answered_at = now
 
     def timed_out(self, seconds: float) -> None:
-        """Take in an answer that was waited for in vain.
+        """Record a statement that timed out.
 
-        Had the wait been longer, the answer might have come: the next wait
-        is longer, so that a slow server is not taken for a silent one for
-        ever.
+        The server might have answered a longer wait. Raising the expected time
+        makes the next wait longer, so that a slow server is not treated as
+        unresponsive for ever.
 
         Args:
-          seconds: How long it was waited for.
+          seconds: How long the proxy waited.
         """
         known = seconds if self.seconds is None else self.seconds
         self.seconds = known + TIMEOUT_WEIGHT * max(0.0, seconds - known)
         self.best_seconds = min(self.best_seconds, self.seconds)
 
     def failed(self, now: float) -> None:
-        """Take in a failure to reach it or an overload.
+        """Record that the server was unreachable or overloaded.
 
         Args:
           now: The current time in seconds.
@@ -89,7 +90,7 @@
         self.avoid_until = now + min(pause, MAX_BACKOFF_SECONDS)
 
     def lagged(self, now: float) -> None:
-        """Take in that it lacked a position that was asked for.
+        """Record that the server lacked a required position.
 
         Args:
           now: The current time in seconds.
@@ -99,12 +100,12 @@
         self.lagging_until = now + min(pause, MAX_BACKOFF_SECONDS)
 
     def caught_up(self) -> None:
-        """Take in that it had a position that was asked for."""
+        """Record that the server had a required position."""
         self.lag_failures = 0
         self.lagging_until = -math.inf
 
     def position_seen(self, position: Position | None) -> None:
-        """Take in the position in an answer.
+        """Record the position in an answer.
 
         Args:
           position: The position; None if the answer had none.
@@ -113,11 +114,11 @@
             self.position = position
 
     def expected_seconds(self, now: float, unknown: float) -> float:
-        """Return how long a statement should take there.
+        """Return the expected time of a statement, in seconds.
 
         Args:
           now: The current time in seconds.
-          unknown: The answer for a server that has not answered yet.
+          unknown: The value for a server that has not answered yet.
         """
         if self.seconds is None:
             return unknown
--- a/packages/jackdawcrank-policy/tests/placement/test_place.py
+++ b/packages/jackdawcrank-policy/tests/placement/test_place.py
@@ -73,9 +73,10 @@
 
 
 def simulate(slow_factor: float, rate: float, seconds: float) -> float:
-    """Play reads at three servers, one of them slow; return the share in time.
+    """Simulate reads on three servers; return the share answered in time.
 
-    Each server runs five statements of 30 ms at once and queues the rest.
+    Each server runs five statements of 30 ms concurrently and queues the rest.
+    Server `a` takes `slow_factor` times as long.
     """
     free_at = {name: [0.0] * 5 for name in "abc"}
     candidates = [
@@ -112,5 +113,5 @@
 
 
 def test_slow_near_server_barely_delays_callers() -> None:
-    # The other two can do 333 a second.
+    # The other two servers can run 333 reads a second.
     assert simulate(slow_factor=5.0, rate=250.0, seconds=10.0) >= 0.97
