--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission of statements to a group's slots."""
+"""Admission control for the statement slots of a group."""
 
 from jackdawcrank_policy.admission.admission_request import AdmissionRequest
 from jackdawcrank_policy.admission.admission_results import (
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/admission_request.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/admission_request.py
@@ -5,12 +5,13 @@
 
 @attrs.frozen
 class AdmissionRequest:
-    """What is asked for.
+    """A request for one slot.
 
     Attributes:
-      number: A number that the proxy gives once.
+      number: A number that is unique within the proxy.
       caller: The caller's name.
-      deadline: When the caller gives up, on the monotonic clock.
+      deadline: When the caller stops waiting, in seconds on the monotonic
+        clock.
       caller_class: The caller class's name.
       weight: The caller class's weight.
     """
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/admission_results.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/admission_results.py
@@ -1,4 +1,4 @@
-"""What admission says of a request."""
+"""Results of an admission request."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 
 @attrs.frozen
 class Admitted:
-    """The request has a slot until it is reported finished.
+    """The request holds a slot until it is reported as finished.
 
     Attributes:
       request: The request.
@@ -19,11 +19,11 @@
 
 @attrs.frozen
 class Refused:
-    """The request is given up on and has to be answered at once.
+    """The request will not run and has to be answered at once.
 
     Attributes:
       request: The request.
-      outcome: The answer.
+      outcome: The outcome to return to the caller.
     """
 
     request: AdmissionRequest
@@ -36,7 +36,7 @@
 
     Attributes:
       request: The request.
-      displaced: Requests that lost their place to it.
+      displaced: Requests that were removed from the queue in its favour.
     """
 
     request: AdmissionRequest
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/class_queue.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/class_queue.py
@@ -1,4 +1,4 @@
-"""The waiting requests of one caller class."""
+"""Queue of the waiting requests of one caller class."""
 
 import collections
 
@@ -9,13 +9,14 @@
 
 @attrs.define
 class ClassQueue:
-    """Requests by caller; callers take turns.
+    """Round-robin queue over the callers of one class.
 
     Attributes:
       weight: The class's weight.
-      virtual_time: The class's virtual time, which grows by 1/weight per request.
-      callers: The waiting requests of each caller, next caller first.
-      length: How many requests wait.
+      virtual_time: The class's virtual time, which increases by 1/weight for
+        each request.
+      callers: The waiting requests of each caller; the next caller is first.
+      length: Number of waiting requests.
     """
 
     weight: int
@@ -26,13 +27,13 @@
     length: int = 0
 
     def push(self, request: AdmissionRequest) -> None:
-        """Add a request behind its caller's others."""
+        """Add a request behind the others of its caller."""
         waiting = self.callers.setdefault(request.caller, collections.deque())
         waiting.append(request)
         self.length += 1
 
     def pop(self) -> AdmissionRequest:
-        """Remove the next request and send its caller to the back."""
+        """Remove and return the next request; move its caller to the end."""
         caller, waiting = self.callers.popitem(last=False)
         request = waiting.popleft()
         if waiting:
@@ -41,7 +42,7 @@
         return request
 
     def pop_longest(self) -> AdmissionRequest:
-        """Remove the newest request of the caller with the most waiting."""
+        """Remove and return the newest request of the longest caller."""
         caller = self.longest_caller()
         request = self.callers[caller].pop()
         if not self.callers[caller]:
@@ -50,18 +51,19 @@
         return request
 
     def longest_caller(self) -> str:
-        """Return the caller with the most requests waiting."""
+        """Return the caller with the most waiting requests."""
         return max(self.callers, key=lambda caller: len(self.callers[caller]))
 
     def waiting_count(self, caller: str) -> int:
-        """Return how many requests of a caller wait."""
+        """Return the number of waiting requests of a caller."""
         return len(self.callers.get(caller, ()))
 
     def remove_late(self, latest: float) -> list[AdmissionRequest]:
-        """Remove and return requests whose deadline is before an instant.
+        """Remove and return the requests that cannot be answered in time.
 
         Args:
-          latest: When an answer could come at the earliest.
+          latest: The earliest possible time of an answer, in seconds; requests
+            with an earlier deadline are removed.
         """
         late = [
             request
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/fair_queue.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/fair_queue.py
@@ -8,11 +8,11 @@
 
 @attrs.define
 class FairQueue:
-    """Waiting requests, taken in proportion to the classes' weights.
+    """Waiting requests, served in proportion to the weights of their classes.
 
     Attributes:
-      classes: The queue of each class that has requests waiting.
-      virtual_time: The virtual time of the last class that was served.
+      classes: The queue of each class that has waiting requests.
+      virtual_time: The virtual time of the class that was served last.
     """
 
     classes: dict[str, ClassQueue] = attrs.Factory(dict)
@@ -20,14 +20,14 @@
 
     @property
     def length(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return sum(queue.length for queue in self.classes.values())
 
     def push(self, request: AdmissionRequest) -> None:
         """Add a request.
 
-        A class that had nothing waiting joins at the present virtual time,
-        so that it does not make up for the time when it asked for nothing.
+        A class without waiting requests starts at the current virtual time, so
+        that it gains no credit for the time when it was idle.
         """
         queue = self.classes.get(request.caller_class)
         if queue is None:
@@ -36,7 +36,7 @@
         queue.push(request)
 
     def pop(self) -> AdmissionRequest:
-        """Remove and return the request whose turn it is."""
+        """Remove and return the next request in virtual-time order."""
         name = min(
             self.classes, key=lambda n: (self.classes[n].virtual_time, n)
         )
@@ -48,14 +48,17 @@
         return request
 
     def displace(self, newcomer: AdmissionRequest) -> AdmissionRequest | None:
-        """Remove a request to make room for one with a better claim.
+        """Remove a waiting request in favour of a new one.
 
-        The class that waits most beyond its weight gives way, and in it the
-        caller with the most waiting. None if the newcomer's own claim is no
-        better.
+        The request comes from the class with the longest queue by weight, and
+        there from the caller with the most waiting requests.
 
         Args:
-          newcomer: The request that finds the queue full.
+          newcomer: The request that arrives at a full queue.
+
+        Returns:
+          The removed request, or None if the queue of the new request's class
+          or caller would be no shorter than the longest one.
         """
         name = max(self.classes, key=self.weighted_length)
         if name != newcomer.caller_class:
@@ -70,12 +73,12 @@
         return displaced
 
     def weighted_length(self, name: str) -> float:
-        """Return how many requests of a class wait, by its weight."""
+        """Return the number of waiting requests of a class over its weight."""
         queue = self.classes[name]
         return queue.length / queue.weight
 
     def weighted_length_with(self, newcomer: AdmissionRequest) -> float:
-        """Return the claim of a request's class with the request in it."""
+        """Return the weighted length of a class including a new request."""
         queue = self.classes.get(newcomer.caller_class)
         length = queue.length if queue else 0
         return (length + 1) / max(1, newcomer.weight)
@@ -83,12 +86,12 @@
     def has_longer_caller_queue(
         self, newcomer: AdmissionRequest, queue: ClassQueue
     ) -> bool:
-        """Return whether another caller of the class waits for more."""
+        """Return whether another caller of the class has more waiting."""
         longest = queue.waiting_count(queue.longest_caller())
         return longest > queue.waiting_count(newcomer.caller) + 1
 
     def ahead_of(self, request: AdmissionRequest) -> float:
-        """Return how many requests should be served before a newcomer.
+        """Return the expected number of requests served before a new one.
 
         Args:
           request: A request that is not in the queue yet.
@@ -107,7 +110,7 @@
         return own + sum(others)
 
     def served_within(self, queue: ClassQueue | None, rounds: int) -> int:
-        """Return how many of a class's requests come in some rounds."""
+        """Return how many requests a class serves within some rounds."""
         if queue is None:
             return 0
         return sum(
@@ -115,7 +118,7 @@
         )
 
     def remove_late(self, latest: float) -> list[AdmissionRequest]:
-        """Remove and return requests whose deadline is before an instant."""
+        """Remove and return requests whose deadline is before `latest`."""
         late = []
         for name, queue in [*self.classes.items()]:
             late += queue.remove_late(latest)
@@ -130,7 +133,7 @@
         return found
 
     def drop_empty(self, name: str) -> None:
-        """Forget a class that has nothing waiting."""
+        """Remove a class that has no waiting requests."""
         queue = self.classes.get(name)
         if queue is not None and queue.length == 0:
             del self.classes[name]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/group_admission.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/group_admission.py
@@ -26,18 +26,18 @@
 class GroupAdmission:
     """A concurrency limit with a short, fair queue.
 
-    A request waits only if it should finish within its deadline. One that
-    has no hope is refused at once, with the time after which the requests
-    refused lately would have been served.
+    A request is queued only if it is expected to finish within its deadline.
+    Otherwise it is refused at once, with a retry delay that covers the queue
+    and the recently refused requests.
 
     Attributes:
-      limit: Requests that may run at once: this home's part of the slots of
-        the servers that are serving.
-      running: Start times of the running requests by number.
+      limit: Number of requests that may run concurrently: this home's share of
+        the slots of the servers that are serving.
+      running: Start times of the running requests in seconds, by number.
       queue: The waiting requests.
-      service: Seconds of one request, smoothed.
-      refused: Requests refused lately, halved every second.
-      refused_at: When `refused` was last brought up to date.
+      service: Moving average of a request's running time in seconds.
+      refused: Number of recent refusals, halved every second.
+      refused_at: When `refused` was last updated, in seconds.
     """
 
     limit: int
@@ -54,7 +54,7 @@
 
         Args:
           request: The request.
-          now: The current time.
+          now: The current time in seconds.
         """
         if request.deadline <= now:
             detail = "the deadline had passed"
@@ -70,73 +70,76 @@
         return Queued(request, displaced)
 
     def finish(self, number: int, now: float) -> list[Admitted | Refused]:
-        """Free a request's slot; return who comes next.
+        """Free a request's slot and return the results that follow.
 
         Args:
           number: The number of a request that was admitted.
-          now: The current time.
+          now: The current time in seconds.
         """
         started = self.running.pop(number)
         self.service += SERVICE_WEIGHT * (now - started - self.service)
         return self.fill(now)
 
     def set_limit(self, limit: int, now: float) -> list[Admitted | Refused]:
-        """Follow a change of the slots; return who comes next.
+        """Apply a new limit and return the results that follow.
 
-        Running requests go on when the limit falls below them.
+        Running requests continue if the new limit is below their number.
 
         Args:
-          limit: Requests that may run at once.
-          now: The current time.
+          limit: Number of requests that may run concurrently.
+          now: The current time in seconds.
         """
         self.limit = limit
         return self.fill(now)
 
     def cancel(self, request: AdmissionRequest) -> bool:
-        """Take a request out of the queue; return whether it was there."""
+        """Remove a request from the queue; return whether it was queued."""
         return self.queue.discard(request)
 
     def expire(self, now: float) -> list[Refused]:
-        """Refuse the waiting requests that cannot finish in time any more.
+        """Refuse the waiting requests that can no longer finish in time.
 
         Args:
-          now: The current time.
+          now: The current time in seconds.
         """
         late = self.queue.remove_late(now + self.service)
         return [Refused(request, self.refusal(now)) for request in late]
 
     def fill(self, now: float) -> list[Admitted | Refused]:
-        """Give free slots to waiting requests that can still finish."""
+        """Assign free slots to waiting requests that can still finish."""
         results: list[Admitted | Refused] = [*self.expire(now)]
         while len(self.running) < self.limit and self.queue.length:
             results.append(self.admit(self.queue.pop(), now))
         return results
 
     def admit(self, request: AdmissionRequest, now: float) -> Admitted:
-        """Give a request a slot."""
+        """Assign a slot to a request."""
         self.running[request.number] = now
         return Admitted(request)
 
     def can_meet_deadline(self, request: AdmissionRequest, now: float) -> bool:
-        """Return whether a request should finish within its deadline."""
+        """Return whether a request is expected to meet its deadline."""
         if self.limit <= 0:
             return False
         wait = self.wait_seconds(self.queue.ahead_of(request))
         return now + wait + self.service <= request.deadline
 
     def wait_seconds(self, ahead: float) -> float:
-        """Return the wait behind some requests while all slots are busy."""
+        """Return the expected wait behind other requests, in seconds.
+
+        Assumes that all slots are busy.
+        """
         return (ahead + 1) * self.service / max(1, self.limit)
 
     def capacity(self) -> int:
-        """Return how many requests may wait."""
+        """Return the maximum length of the queue."""
         served = MAX_QUEUE_SECONDS * self.limit / max(self.service, 1e-6)
         return max(MIN_QUEUE_LENGTH, int(served))
 
     def make_room(
         self, request: AdmissionRequest, now: float
     ) -> tuple[Refused, ...] | None:
-        """Return who gives way to a request; None if it gets no place."""
+        """Return the displaced requests; None if the new one must not wait."""
         if self.queue.length < self.capacity():
             return ()
         displaced = self.queue.displace(request)
@@ -147,8 +150,8 @@
     def refusal(self, now: float) -> NotRun:
         """Return the refusal for overload and count it.
 
-        The time to come back is that which the queue and the requests that
-        were refused lately take at the present rate.
+        The retry delay is the time that the queue and the recently refused
+        requests take at the current service rate.
         """
         elapsed = now - self.refused_at
         self.refused *= math.pow(0.5, elapsed / REJECTION_HALF_LIFE_SECONDS)
--- a/packages/jackdawcrank-policy/tests/admission/test_concurrency_limit.py
+++ b/packages/jackdawcrank-policy/tests/admission/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Tests of the limit that follows the slots."""
+"""Tests of the concurrency limit."""
 
 import pytest
 
--- a/packages/jackdawcrank-policy/tests/admission/test_group_admission.py
+++ b/packages/jackdawcrank-policy/tests/admission/test_group_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission to a group's slots."""
+"""Tests of admission control for the slots of a group."""
 
 import collections
 import random
--- a/packages/jackdawcrank-policy/tests/admission/test_home_slots.py
+++ b/packages/jackdawcrank-policy/tests/admission/test_home_slots.py
@@ -1,4 +1,4 @@
-"""Tests of a home's part of the slots."""
+"""Tests of a home's share of the slots."""
 
 import pytest
 
