--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/group_admission.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/group_admission.py
@@ -13,13 +13,13 @@
 from jackdawcrank_policy.admission.fair_queue import FairQueue
 from jackdawcrank_policy.values import NotRun, NotRunReason
 
-FIRST_SERVICE_SECONDS = 0.01
+INITIAL_SERVICE_SECONDS = 0.01
 SERVICE_WEIGHT = 0.05
 MAX_QUEUE_SECONDS = 0.5
 MIN_QUEUE_LENGTH = 4
 MIN_RETRY_AFTER_MS = 10
 MAX_RETRY_AFTER_MS = 5_000
-REJECTION_HALF_LIFE_SECONDS = 1.0
+REFUSAL_HALF_LIFE_SECONDS = 1.0
 
 
 @attrs.define
@@ -43,7 +43,7 @@
     limit: int
     running: dict[int, float] = attrs.Factory(dict)
     queue: FairQueue = attrs.Factory(FairQueue)
-    service: float = FIRST_SERVICE_SECONDS
+    service: float = INITIAL_SERVICE_SECONDS
     refused: float = 0.0
     refused_at: float = 0.0
 
@@ -154,7 +154,7 @@
         requests take at the current service rate.
         """
         elapsed = now - self.refused_at
-        self.refused *= math.pow(0.5, elapsed / REJECTION_HALF_LIFE_SECONDS)
+        self.refused *= math.pow(0.5, elapsed / REFUSAL_HALF_LIFE_SECONDS)
         self.refused += 1
         self.refused_at = now
         seconds = self.wait_seconds(self.queue.length + self.refused)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_detector.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_detector.py
@@ -34,7 +34,7 @@
       refusals: Consecutive refused connections.
       latencies: Latencies of the newest answers in seconds; a miss is recorded
         with the time until its time-out.
-      others_answer_at: When the newest answered request to another server of
+      others_answered_at: When the newest answered request to another server of
         the group was sent, in seconds.
     """
 
@@ -46,7 +46,7 @@
     latencies: collections.deque[float] = attrs.field(
         factory=lambda: collections.deque(maxlen=RECENT_ANSWERS)
     )
-    others_answer_at: float | None = None
+    others_answered_at: float | None = None
 
     def reset(self, now: float) -> None:
         """Start over for a new primary, with the full time to answer.
@@ -102,7 +102,9 @@
         Args:
           sent_at: When the request was sent, in seconds.
         """
-        self.others_answer_at = max(sent_at, self.others_answer_at or sent_at)
+        self.others_answered_at = max(
+            sent_at, self.others_answered_at or sent_at
+        )
 
     def silent_seconds(self, now: float) -> float:
         """Return the time since the newest answered request, in seconds."""
@@ -145,7 +147,7 @@
         self, health: PrimaryHealth, now: float
     ) -> PrimaryHealth:
         """Return the health, or `CUT_OFF` if no other server answers either."""
-        last_answer_at = self.others_answer_at
+        last_answer_at = self.others_answered_at
         if (
             last_answer_at is not None
             and now - last_answer_at <= 2 * self.suspect_after
