--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/group_admission.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/admission/group_admission.py
@@ -36,7 +36,7 @@
       running: Start times of the running requests in seconds, by number.
       queue: The waiting requests.
       service: Moving average of a request's running time in seconds.
-      refused: Number of recent refusals, halved every second.
+      refused: Number of refusals, decayed with a half-life of one second.
       refused_at: When `refused` was last updated, in seconds.
     """
 
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_detector.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_detector.py
@@ -107,7 +107,10 @@
         )
 
     def silent_seconds(self, now: float) -> float:
-        """Return the time since the newest answered request, in seconds."""
+        """Return the time since the newest answered request was sent.
+
+        The result is in seconds; it is 0 before the first request.
+        """
         return 0.0 if self.answered_at is None else now - self.answered_at
 
     def health(self, now: float) -> PrimaryHealth:
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_evidence.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/primary_evidence.py
@@ -9,7 +9,7 @@
     """Health of a primary as seen by one proxy.
 
     Attributes:
-      UNKNOWN: No request has been sent yet.
+      UNKNOWN: No request has been answered or has failed yet.
       HEALTHY: It answers in time.
       SLOW: It answers, but late or with missed deadlines.
       SUSPECT: It has not answered for too long.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/server_condition.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/placement/server_condition.py
@@ -17,7 +17,8 @@
 DECAY_HALF_LIFE_SECONDS = 2.0
 # First back-off of an unreachable or overloaded server; doubles each time.
 INITIAL_BACKOFF_SECONDS = 0.1
-# After its recovery, one of three servers may remain unused for this long.
+# Longest back-off: one server out of three may remain unused for this long
+# after its recovery.
 MAX_BACKOFF_SECONDS = 1.0
 # First back-off of a replica that lacked a position: about the usual lag of
 # 60 ms.
@@ -70,7 +71,7 @@
 
         The server might have answered a longer wait. Raising the expected time
         makes the next wait longer, so that a slow server is not treated as
-        unresponsive for ever.
+        unresponsive permanently.
 
         Args:
           seconds: How long the proxy waited.
