--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/detection/__init__.py
@@ -1,4 +1,4 @@
-"""Suspecting a primary: from missed deadlines to a common judgement."""
+"""Failure detection for primaries, from missed deadlines to a judgement."""
 
 from jackdawcrank_policy.detection.judge import (
     Judgement,
@@ -8,7 +8,7 @@
     MIN_MISSES,
     PROBE_INTERVAL_SECONDS,
     PROBE_TIMEOUT_SECONDS,
-    SECOND_TIMEOUT_SECONDS,
+    RETRY_PROBE_TIMEOUT_SECONDS,
     SLOW_ANSWER_SECONDS,
     SUSPECT_AFTER_SECONDS,
     PrimaryDetector,
@@ -23,7 +23,7 @@
     "MIN_MISSES",
     "PROBE_INTERVAL_SECONDS",
     "PROBE_TIMEOUT_SECONDS",
-    "SECOND_TIMEOUT_SECONDS",
+    "RETRY_PROBE_TIMEOUT_SECONDS",
     "SLOW_ANSWER_SECONDS",
     "SUSPECT_AFTER_SECONDS",
     "Judgement",
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -27,7 +27,7 @@
 from jackdawcrank.seams.server_link import NotOpened, OpenFailure, ServerLink
 from jackdawcrank_policy.catalog import Consistency, DatabaseSpec
 from jackdawcrank_policy.values.position import Position
-from jackdawcrank_policy.waiting import STANDING_SHARE, WaitLimits
+from jackdawcrank_policy.waiting import OVERLOAD_WAIT_SHARE, WaitLimits
 
 # An answer this many times later than expected is taken for lost: our users'
 # longest work is 12 times the mean.
@@ -187,7 +187,7 @@
                 problem=Problem.IN_DOUBT,
                 detail="the server did not answer the write",
             )
-        lane.condition.showed(reply.position)
+        lane.condition.position_seen(reply.position)
         broken = reply.problem is Problem.UNKNOWN_NAME
         self.give_back(lane, link, broken)
         if reply.problem in NOT_RUN:
@@ -195,7 +195,7 @@
             return None
         if reply.problem is None:
             session.saw(reply.position)
-            group.doubt.confirmed()
+            group.doubt.commit_acknowledged()
             if reply.position:
                 group.floors.learn(sent_at, reply.position)
         return reply
@@ -226,7 +226,7 @@
         if reply is None:
             self.give_back(lane, link, broken=True)
             return None
-        lane.condition.showed(reply.position)
+        lane.condition.position_seen(reply.position)
         broken = reply.problem is Problem.UNKNOWN_NAME
         self.give_back(lane, link, broken)
         return self.judge_read(group, lane, reply, attempts)
@@ -306,7 +306,7 @@
         attempts.excluded.add(lane.server.server_id)
         lane.condition.failed(now)
         if not link.closed:
-            lane.condition.gave_up(now - start)
+            lane.condition.timed_out(now - start)
         group.note_lost(lane, not link.closed, start)
 
     def attempt_seconds(
@@ -362,7 +362,7 @@
             self.give_back(lane, link, broken=True)
             return None
         opened = futures[opening].result()
-        lane.condition.showed(reply.position)
+        lane.condition.position_seen(reply.position)
         if reply.problem is Problem.UNKNOWN_NAME:
             self.give_back(lane, link, broken=True)
         else:
@@ -462,7 +462,7 @@
             self.note_no_answer(group, lane, link, attempts, start, limit)
             self.give_back(lane, link, broken=True)
             return None
-        lane.condition.showed(reply.position)
+        lane.condition.position_seen(reply.position)
         if reply.problem is not None:
             self.give_back(lane, link, broken=False)
             self.note_refusal(group, lane, reply, attempts)
@@ -516,7 +516,7 @@
         expected = lane.condition.expected_seconds(now, MIN_ATTEMPT_SECONDS)
         needed = max(MIN_ATTEMPT_SECONDS, SEND_FACTOR * expected)
         latest = attempts.deadline - min(seconds * MAX_ATTEMPT_SHARE, needed)
-        early = attempts.started_at + seconds * STANDING_SHARE
+        early = attempts.started_at + seconds * OVERLOAD_WAIT_SHARE
         return WaitLimits(spec.priority, latest, min(latest, early))
 
     def give_back(
