--- a/bench/reads_model/policies.py
+++ b/bench/reads_model/policies.py
@@ -6,9 +6,9 @@
 from jackdawcrank_policy.routing import (
     ReadChoice,
     ReadRequest,
+    RouteToPrimary,
+    RouteToReplica,
     RoutingTable,
-    ToPrimary,
-    ToServer,
     WaitForReplica,
 )
 
@@ -36,7 +36,7 @@
         return table.choose(request, now, rng)
     if policy is Policy.TOKEN_TO_PRIMARY:
         if request.max_age_ms is None:
-            return ToPrimary()
+            return RouteToPrimary()
         return table.choose(request, now, rng)
     return choose_random(request, now, rng)
 
@@ -47,8 +47,8 @@
     """Return a random replica, after a wait if there is a token."""
     if request.token_position is None:
         if request.max_age_ms is None:
-            return ToPrimary()
-        return ToServer(rng.choice(REPLICAS))
+            return RouteToPrimary()
+        return RouteToReplica(rng.choice(REPLICAS))
     if not request.may_wait:
-        return ToPrimary()
+        return RouteToPrimary()
     return WaitForReplica(rng.choice(REPLICAS), now + RANDOM_WAIT_SECONDS)
--- a/bench/reads_model/simulation.py
+++ b/bench/reads_model/simulation.py
@@ -12,9 +12,9 @@
 from jackdawcrank_policy.routing import (
     ReadChoice,
     ReadRequest,
+    RouteToPrimary,
+    RouteToReplica,
     RoutingTable,
-    ToPrimary,
-    ToServer,
     WaitForReplica,
 )
 from jackdawcrank_policy.values import Branch, Position, ServerSpec, TermStart
@@ -207,10 +207,10 @@
         """Take the session to another proxy with its token alone."""
         evidence = self.homes[session.region].evidence
         name = f"h{session.region}"
-        hold = session.reads.hold(GROUP, evidence, name, self.now)
-        if hold is not None:
-            shown = self.servers[hold.server].report(self.now).position
-            session.advance(hold.bound or shown)
+        constraint = session.reads.constraint(GROUP, evidence, name, self.now)
+        if constraint is not None:
+            shown = self.servers[constraint.server].report(self.now).position
+            session.advance(constraint.bound or shown)
         session.reads.forget(GROUP)
         session.region = self.rng.randrange(REGIONS)
 
@@ -249,7 +249,7 @@
             self.now + DEADLINE_SECONDS,
             session.token,
             max_age_ms,
-            session.reads.hold(GROUP, table.evidence, name, self.now),
+            session.reads.constraint(GROUP, table.evidence, name, self.now),
         )
         mean = OVERVIEW_SECONDS if max_age_ms else READ_SECONDS
         service = self.service(mean)
@@ -276,7 +276,7 @@
             self.now,
             self.rng,
         )
-        if not isinstance(choice, ToServer):
+        if not isinstance(choice, RouteToReplica):
             for name in self.servers:
                 self.probe_on_demand(region, name)
         self.follow(attempt, choice)
@@ -285,9 +285,9 @@
         """Do what was chosen."""
         if isinstance(choice, WaitForReplica):
             self.wait(attempt, choice)
-        elif isinstance(choice, ToServer):
+        elif isinstance(choice, RouteToReplica):
             self.send(attempt, choice, self.servers[choice.server])
-        elif isinstance(choice, ToPrimary):
+        elif isinstance(choice, RouteToPrimary):
             self.send(attempt, choice, self.servers["a"])
         else:
             raise AssertionError(choice)
@@ -311,7 +311,11 @@
 
         def answer() -> None:
             if self.scenario.policy is Policy.RANDOM_WITH_WAIT:
-                to = ToServer(choice.server) if reached else ToPrimary()
+                to = (
+                    RouteToReplica(choice.server)
+                    if reached
+                    else RouteToPrimary()
+                )
                 self.follow(attempt, to)
                 return
             if reached:
@@ -332,7 +336,10 @@
         self.after(2 * max(ways) + 1e-6, lambda: self.choose(attempt))
 
     def send(
-        self, attempt: Attempt, choice: ToServer | ToPrimary, server: Server
+        self,
+        attempt: Attempt,
+        choice: RouteToReplica | RouteToPrimary,
+        server: Server,
     ) -> None:
         """Run a read on a server."""
         region = attempt.session.region
@@ -357,21 +364,21 @@
     def answered(
         self,
         attempt: Attempt,
-        choice: ToServer | ToPrimary,
+        choice: RouteToReplica | RouteToPrimary,
         server: Server,
         offset: int,
     ) -> None:
         """Judge an answer and give it to the session."""
         session, request = attempt.session, attempt.request
         checked = self.scenario.policy is not Policy.RANDOM_WITH_WAIT
-        stale = isinstance(choice, ToServer) and not choice.fresh_at(
+        stale = isinstance(choice, RouteToReplica) and not choice.fresh_at(
             self.now, request.max_age_ms
         )
         if checked and stale:
-            self.follow(attempt, ToPrimary())
+            self.follow(attempt, RouteToPrimary())
             return
         if self.now > WARM_UP_SECONDS:
-            self.count(attempt, isinstance(choice, ToServer), offset)
+            self.count(attempt, isinstance(choice, RouteToReplica), offset)
         session.seen = max(session.seen, offset)
         name = f"h{session.region}"
         session.reads.record(GROUP, server.name, self.now, TERM, name)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/evidence.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/evidence.py
@@ -169,7 +169,7 @@
         instant = self.complete_as_of(server)
         return None if instant is None else max(0.0, now - instant)
 
-    def seconds_behind(self, server: str) -> float | None:
+    def replication_lag(self, server: str) -> float | None:
         """Return how far a server was behind what is known of the primary.
 
         Its age is greater by the time since the primary was probed, which a
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_mark.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/answered_read.py
@@ -3,12 +3,12 @@
 import attrs
 
 from jackdawcrank_policy.freshness import Evidence
-from jackdawcrank_policy.routing.read_hold import ReadHold
+from jackdawcrank_policy.routing.read_constraint import ReadConstraint
 from jackdawcrank_policy.values import Position
 
 
 @attrs.frozen
-class ReadMark:
+class AnsweredRead:
     """A read whose position is bounded later.
 
     Answers of reads carry no position. What a read on server X that ended at
@@ -30,7 +30,7 @@
     observer: str = ""
     bound: Position | None = None
 
-    def on_clock(self, observer: str, now: float) -> "ReadMark":
+    def on_clock(self, observer: str, now: float) -> "AnsweredRead":
         """Return the mark on the clock of a proxy that was shown it.
 
         On another proxy's clock the read ended before it was shown.
@@ -43,7 +43,7 @@
             return self
         return attrs.evolve(self, observer=observer, ended_at=now)
 
-    def resolved(self, evidence: Evidence) -> "ReadMark":
+    def resolved(self, evidence: Evidence) -> "AnsweredRead":
         """Return the mark with its bound, if the evidence has one.
 
         Args:
@@ -54,11 +54,11 @@
         bound = evidence.bound_after(self.server, self.ended_at)
         return attrs.evolve(self, bound=bound)
 
-    def hold(self, term: int) -> ReadHold:
+    def constraint(self, term: int) -> ReadConstraint:
         """Return what the read asks of the next one.
 
         Args:
           term: The newest term that is known.
         """
         lost = self.bound is None and self.term < term
-        return ReadHold(self.server, self.bound, lost)
+        return ReadConstraint(self.server, self.bound, lost)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/candidate.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/candidate.py
@@ -15,9 +15,9 @@
       state: Whether it is joining, serving or leaving.
       position: The proved position on the branch, if any.
       complete_as_of: The instant up to which it holds every write, if known.
-      behind: Seconds that it was behind what is known of the primary.
-      catch_up: Seconds until it should reach the token, if known.
-      expected: Seconds that an answer should take, with network and queue.
+      replication_lag: Seconds that it was behind what is known of the primary.
+      catch_up_seconds: Seconds until it should reach the token, if known.
+      expected_response_time: Seconds that an answer should take, with network and queue.
       failing: Whether its recent errors rule it out.
     """
 
@@ -26,9 +26,9 @@
     state: ServerState = ServerState.SERVING
     position: Position | None = None
     complete_as_of: float | None = None
-    behind: float | None = None
-    catch_up: float | None = None
-    expected: float = 0.0
+    replication_lag: float | None = None
+    catch_up_seconds: float | None = None
+    expected_response_time: float = 0.0
     failing: bool = False
 
     def usable(self) -> bool:
@@ -61,7 +61,7 @@
             return True
         if self.complete_as_of is None:
             return False
-        age = now + self.expected - self.complete_as_of
+        age = now + self.expected_response_time - self.complete_as_of
         return age <= max_age_ms / 1000
 
     def may_prove_fresh(self, max_age_ms: int | None) -> bool:
@@ -72,5 +72,7 @@
         """
         if max_age_ms is None:
             return False
-        behind = self.behind or 0.0
-        return behind + self.expected <= max_age_ms / 1000
+        replication_lag = self.replication_lag or 0.0
+        return (
+            replication_lag + self.expected_response_time <= max_age_ms / 1000
+        )
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/choices.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/choices.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class ToServer:
+class RouteToReplica:
     """Run the read on a replica.
 
     Attributes:
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class ToPrimary:
+class RouteToPrimary:
     """Run the read on the primary, under the term lease."""
 
 
@@ -66,4 +66,4 @@
     outcome: NotRun
 
 
-ReadChoice = ToServer | WaitForReplica | ToPrimary | Refuse
+ReadChoice = RouteToReplica | WaitForReplica | RouteToPrimary | Refuse
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/choose_read.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/choose_read.py
@@ -7,17 +7,17 @@
 from jackdawcrank_policy.routing.choices import (
     ReadChoice,
     Refuse,
-    ToPrimary,
-    ToServer,
+    RouteToPrimary,
+    RouteToReplica,
     WaitForReplica,
 )
 from jackdawcrank_policy.routing.read_request import ReadRequest
 from jackdawcrank_policy.values import Branch, NotRun, NotRunReason, Position
 
-NEAR_TIE = 1.1
+NEAR_TIE_RATIO = 1.1
 WAIT_MARGIN_SECONDS = 0.02
 PROBE_WAIT_SECONDS = 0.1
-RETRY_AFTER_TERM_MS = 500
+TERM_CHANGE_RETRY_AFTER_MS = 500
 
 
 def choose_read(
@@ -36,43 +36,49 @@
       now: The current time.
       rng: Breaks near ties between replicas.
     """
-    refusal = refuse_lost(request, branch)
+    refusal = refuse_lost_position(request, branch)
     if refusal is not None:
         return refusal
     primary = find_primary(candidates)
     if request.token_position is None and request.max_age_ms is None:
-        return to_primary(primary)
+        return route_to_primary(primary)
     replicas = [c for c in candidates if c.usable() and not c.primary]
     fresh = [c for c in replicas if c.fresh_enough(request.max_age_ms, now)]
-    ready = [c for c in fresh if covers(c, request, branch)]
+    ready = [c for c in fresh if satisfies_bounds(c, request, branch)]
     if ready:
-        return pick(ready, request, rng)
+        return pick_fastest(ready, request, rng)
     if not fresh:
         return probe_or_primary(request, replicas, primary, now)
     return wait_or_primary(request, fresh, primary, now)
 
 
-def refuse_lost(request: ReadRequest, branch: Branch) -> Refuse | None:
+def refuse_lost_position(request: ReadRequest, branch: Branch) -> Refuse | None:
     """Return the refusal of a read that no server can answer truly."""
-    if request.hold is not None and request.hold.lost:
-        return lost("the session may have read entries that were lost")
-    position = request.lost_bound(branch)
+    if request.constraint is not None and request.constraint.lost:
+        return write_lost_refusal(
+            "the session may have read entries that were lost"
+        )
+    position = request.bound_off_branch(branch)
     if position is None:
         return None
     if position.term > branch.term:
-        return behind(position)
-    return lost(f"position {position} was lost in a change of primary")
+        return stale_token_refusal(position)
+    return write_lost_refusal(
+        f"position {position} was lost in a change of primary"
+    )
 
 
-def lost(detail: str) -> Refuse:
+def write_lost_refusal(detail: str) -> Refuse:
     """Return the refusal that says a write was lost."""
     return Refuse(NotRun(NotRunReason.WRITE_LOST, detail))
 
 
-def behind(position: Position) -> Refuse:
+def stale_token_refusal(position: Position) -> Refuse:
     """Return the refusal of a token whose term is not known here yet."""
     detail = f"term {position.term} is not known here yet"
-    return Refuse(NotRun(NotRunReason.STALE_TOKEN, detail, RETRY_AFTER_TERM_MS))
+    return Refuse(
+        NotRun(NotRunReason.STALE_TOKEN, detail, TERM_CHANGE_RETRY_AFTER_MS)
+    )
 
 
 def find_primary(candidates: Sequence[Candidate]) -> Candidate | None:
@@ -81,38 +87,44 @@
     return next(found, None)
 
 
-def to_primary(primary: Candidate | None) -> ReadChoice:
+def route_to_primary(primary: Candidate | None) -> ReadChoice:
     """Return the choice of the primary, or a refusal if there is none."""
     if primary is not None:
-        return ToPrimary()
+        return RouteToPrimary()
     detail = "no primary is known that may get work"
-    return Refuse(NotRun(NotRunReason.NO_PRIMARY, detail, RETRY_AFTER_TERM_MS))
+    return Refuse(
+        NotRun(NotRunReason.NO_PRIMARY, detail, TERM_CHANGE_RETRY_AFTER_MS)
+    )
 
 
-def covers(candidate: Candidate, request: ReadRequest, branch: Branch) -> bool:
+def satisfies_bounds(
+    candidate: Candidate, request: ReadRequest, branch: Branch
+) -> bool:
     """Return whether a replica covers all that the session has seen."""
     if request.pinned_elsewhere(candidate.server):
         return False
-    hold = request.hold
-    if hold is not None and hold.server == candidate.server:
+    constraint = request.constraint
+    if constraint is not None and constraint.server == candidate.server:
         return candidate.reached(request.token_position, branch)
     return candidate.reached(request.target(), branch)
 
 
-def pick(
+def pick_fastest(
     ready: Sequence[Candidate], request: ReadRequest, rng: random.Random
-) -> ToServer:
+) -> RouteToReplica:
     """Return the replica that should answer first.
 
     The session's last replica is kept unless another is clearly faster, and
     near ties are broken at random so that proxies don't move in step.
     """
-    fastest = min(candidate.expected for candidate in ready)
-    near = [c for c in ready if c.expected <= fastest * NEAR_TIE]
-    last = request.hold.server if request.hold else None
-    same = [c for c in near if c.server == last]
-    chosen = same[0] if same else rng.choice(near)
-    return ToServer(chosen.server, chosen.complete_as_of)
+    fastest = min(candidate.expected_response_time for candidate in ready)
+    near = [
+        c for c in ready if c.expected_response_time <= fastest * NEAR_TIE_RATIO
+    ]
+    last = request.constraint.server if request.constraint else None
+    last_used = [c for c in near if c.server == last]
+    chosen = last_used[0] if last_used else rng.choice(near)
+    return RouteToReplica(chosen.server, chosen.complete_as_of)
 
 
 def probe_or_primary(
@@ -127,15 +139,15 @@
     newest data, behind which it could not go back for as long as the lag.
     """
     until = now + PROBE_WAIT_SECONDS
-    hopeful = [
+    probe_targets = [
         c
         for c in replicas
         if c.may_prove_fresh(request.max_age_ms)
         and not request.pinned_elsewhere(c.server)
     ]
-    if not hopeful or not request.may_wait or until > request.deadline:
-        return to_primary(primary)
-    fastest = min(hopeful, key=lambda c: c.expected)
+    if not probe_targets or not request.may_wait or until > request.deadline:
+        return route_to_primary(primary)
+    fastest = min(probe_targets, key=lambda c: c.expected_response_time)
     return WaitForReplica(fastest.server, until, probe=True)
 
 
@@ -146,17 +158,20 @@
     now: float,
 ) -> ReadChoice:
     """Return a wait that beats the primary, else the primary."""
-    waits = [c for c in fresh if may_wait_for(c, request)]
-    if not waits:
-        return to_primary(primary)
-    best = min(waits, key=answer_time)
-    until = now + (best.catch_up or 0.0) + WAIT_MARGIN_SECONDS
-    if until + best.expected > request.deadline:
-        return to_primary(primary)
+    catching_up = [c for c in fresh if may_wait_for(c, request)]
+    if not catching_up:
+        return route_to_primary(primary)
+    best = min(catching_up, key=total_response_time)
+    until = now + (best.catch_up_seconds or 0.0) + WAIT_MARGIN_SECONDS
+    if until + best.expected_response_time > request.deadline:
+        return route_to_primary(primary)
     if primary is None:
         return WaitForReplica(best.server, until)
-    if answer_time(best) > primary.expected + request.primary_relief:
-        return ToPrimary()
+    if (
+        total_response_time(best)
+        > primary.expected_response_time + request.replica_wait_seconds
+    ):
+        return RouteToPrimary()
     return WaitForReplica(best.server, until)
 
 
@@ -164,9 +179,11 @@
     """Return whether a replica should reach the session's target."""
     if not request.may_wait or request.pinned_elsewhere(candidate.server):
         return False
-    return candidate.catch_up is not None
+    return candidate.catch_up_seconds is not None
 
 
-def answer_time(candidate: Candidate) -> float:
+def total_response_time(candidate: Candidate) -> float:
     """Return the seconds to an answer with the wait for the token."""
-    return (candidate.catch_up or 0.0) + candidate.expected
+    return (
+        candidate.catch_up_seconds or 0.0
+    ) + candidate.expected_response_time
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_hold.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_constraint.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class ReadHold:
+class ReadConstraint:
     """The server of the last read and what that read may have seen.
 
     Attributes:
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_request.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_request.py
@@ -2,10 +2,10 @@
 
 import attrs
 
-from jackdawcrank_policy.routing.read_hold import ReadHold
+from jackdawcrank_policy.routing.read_constraint import ReadConstraint
 from jackdawcrank_policy.values import Branch, Position
 
-PRIMARY_RELIEF_SECONDS = 0.15
+DEFAULT_REPLICA_WAIT_SECONDS = 0.15
 
 
 @attrs.frozen
@@ -18,9 +18,9 @@
       token_position: The position that the session has seen, if any.
       max_age_ms: The stated age in milliseconds, the group's default applied
         already; None if neither states one.
-      hold: What the session's last read asks, if there was one.
+      constraint: What the session's last read asks, if there was one.
       may_wait: Whether the read may wait for a replica; False once it has.
-      primary_relief: The seconds that the read may take longer than on the
+      replica_wait_seconds: The seconds that the read may take longer than on the
         primary in order to spare it.
     """
 
@@ -28,13 +28,13 @@
     deadline: float
     token_position: Position | None = None
     max_age_ms: int | None = None
-    hold: ReadHold | None = None
+    constraint: ReadConstraint | None = None
     may_wait: bool = True
-    primary_relief: float = PRIMARY_RELIEF_SECONDS
+    replica_wait_seconds: float = DEFAULT_REPLICA_WAIT_SECONDS
 
     def bounds(self) -> list[Position]:
         """Return the positions that an answer has to cover."""
-        hold_bound = self.hold.bound if self.hold else None
+        hold_bound = self.constraint.bound if self.constraint else None
         both = (self.token_position, hold_bound)
         return [position for position in both if position is not None]
 
@@ -42,7 +42,7 @@
         """Return the position that covers all bounds on one branch."""
         return max(self.bounds(), key=lambda p: p.offset, default=None)
 
-    def lost_bound(self, branch: Branch) -> Position | None:
+    def bound_off_branch(self, branch: Branch) -> Position | None:
         """Return a bound that is not on the branch, if there is one.
 
         Args:
@@ -57,7 +57,7 @@
         Args:
           server: The replica's name.
         """
-        hold = self.hold
-        if hold is None or hold.bound is not None:
+        constraint = self.constraint
+        if constraint is None or constraint.bound is not None:
             return False
-        return hold.server != server
+        return constraint.server != server
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/routing_table.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/routing_table.py
@@ -71,13 +71,13 @@
             state=self.specs[name].state,
             position=evidence.position(name),
             complete_as_of=evidence.complete_as_of(name),
-            behind=evidence.seconds_behind(name),
-            catch_up=self.catch_up(name, request, now),
-            expected=load.expected(now),
+            replication_lag=evidence.replication_lag(name),
+            catch_up_seconds=self.catch_up_seconds(name, request, now),
+            expected_response_time=load.expected_response_time(now),
             failing=load.failing(now),
         )
 
-    def catch_up(
+    def catch_up_seconds(
         self, name: str, request: ReadRequest, now: float
     ) -> float | None:
         """Return the seconds until a server should reach the target."""
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/server_load.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/server_load.py
@@ -19,17 +19,17 @@
       slots: Statements that the server runs at once for this proxy.
       latency: Seconds of a network round trip to the server.
       in_flight: Statements that this proxy has on the server.
-      service: Seconds of one statement without the network, smoothed.
+      service_time: Seconds of one statement without the network, smoothed.
       error_score: Recent errors, halved every few seconds.
-      scored_at: When the score was last brought up to date.
+      score_updated_at: When the score was last brought up to date.
     """
 
     slots: int = 1
     latency: float = 0.0
     in_flight: int = 0
-    service: float = FIRST_SERVICE_SECONDS
+    service_time: float = FIRST_SERVICE_SECONDS
     error_score: float = 0.0
-    scored_at: float = 0.0
+    score_updated_at: float = 0.0
 
     def start(self) -> None:
         """Count a statement that was sent."""
@@ -44,25 +44,29 @@
           now: The current time.
         """
         self.in_flight -= 1
-        self.error_score = self.errors(now) + failed
-        self.scored_at = now
+        self.error_score = self.decayed_error_score(now) + failed
+        self.score_updated_at = now
         if not failed:
-            service = max(0.0, seconds - self.latency)
-            self.service += SERVICE_WEIGHT * (service - self.service)
+            service_time = max(0.0, seconds - self.latency)
+            self.service_time += SERVICE_WEIGHT * (
+                service_time - self.service_time
+            )
 
-    def errors(self, now: float) -> float:
+    def decayed_error_score(self, now: float) -> float:
         """Return the score of recent errors at a time."""
-        elapsed = now - self.scored_at
+        elapsed = now - self.score_updated_at
         return self.error_score * math.pow(
             0.5, elapsed / ERROR_HALF_LIFE_SECONDS
         )
 
     def failing(self, now: float) -> bool:
         """Return whether recent errors rule the server out."""
-        return self.errors(now) >= FAILING_SCORE
+        return self.decayed_error_score(now) >= FAILING_SCORE
 
-    def expected(self, now: float) -> float:
+    def expected_response_time(self, now: float) -> float:
         """Return the seconds that one more statement should take."""
-        waiting = max(0, self.in_flight + 1 - self.slots)
-        queue = self.service * waiting / max(1, self.slots)
-        return self.latency + (self.service + queue) * (1 + self.errors(now))
+        queued = max(0, self.in_flight + 1 - self.slots)
+        queue = self.service_time * queued / max(1, self.slots)
+        return self.latency + (self.service_time + queue) * (
+            1 + self.decayed_error_score(now)
+        )
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/session_reads.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/session_reads.py
@@ -3,8 +3,8 @@
 import attrs
 
 from jackdawcrank_policy.freshness import Evidence
-from jackdawcrank_policy.routing.read_hold import ReadHold
-from jackdawcrank_policy.routing.read_mark import ReadMark
+from jackdawcrank_policy.routing.answered_read import AnsweredRead
+from jackdawcrank_policy.routing.read_constraint import ReadConstraint
 
 
 @attrs.define
@@ -14,10 +14,10 @@
     Only the last read counts: it was at or above the ones before it.
 
     Attributes:
-      marks: The mark of the last read on each group.
+      by_group: The mark of the last read on each group.
     """
 
-    marks: dict[str, ReadMark] = attrs.Factory(dict)
+    by_group: dict[str, AnsweredRead] = attrs.Factory(dict)
 
     def record(
         self,
@@ -36,15 +36,15 @@
           term: The term under which the server was chosen.
           observer: The proxy process that ran the read.
         """
-        self.marks[group] = ReadMark(server, ended_at, term, observer)
+        self.by_group[group] = AnsweredRead(server, ended_at, term, observer)
 
-    def hold(
+    def constraint(
         self,
         group: str,
         evidence: Evidence,
         observer: str = "",
         now: float = 0.0,
-    ) -> ReadHold | None:
+    ) -> ReadConstraint | None:
         """Return what the session's last read on a group asks of its next.
 
         Args:
@@ -53,14 +53,14 @@
           observer: The proxy process that chooses the server.
           now: Its current time.
         """
-        mark = self.marks.get(group)
-        if mark is None:
+        read = self.by_group.get(group)
+        if read is None:
             return None
-        judged = mark.on_clock(observer, now).resolved(evidence)
+        judged = read.on_clock(observer, now).resolved(evidence)
         if judged.bound is not None:
-            self.marks[group] = judged
-        return judged.hold(evidence.branch.term)
+            self.by_group[group] = judged
+        return judged.constraint(evidence.branch.term)
 
     def forget(self, group: str) -> None:
         """Drop a group, after its bound went into the token or was lost."""
-        self.marks.pop(group, None)
+        self.by_group.pop(group, None)
--- a/packages/jackdawcrank-policy/tests/freshness/test_evidence.py
+++ b/packages/jackdawcrank-policy/tests/freshness/test_evidence.py
@@ -119,7 +119,7 @@
     assert expected == pytest.approx(1.0)
     assert evidence.catch_up_seconds("b", Position(1, 160), 20.0) == 0.0
     assert evidence.catch_up_seconds("c", Position(1, 160), 20.0) is None
-    assert evidence.seconds_behind("b") == pytest.approx(3.0)
+    assert evidence.replication_lag("b") == pytest.approx(3.0)
 
 
 def test_an_answer_stands_only_on_its_branch(evidence: Evidence) -> None:
--- a/packages/jackdawcrank-policy/tests/routing/test_choose_read.py
+++ b/packages/jackdawcrank-policy/tests/routing/test_choose_read.py
@@ -8,11 +8,11 @@
 from jackdawcrank_policy.routing import (
     Candidate,
     ReadChoice,
-    ReadHold,
+    ReadConstraint,
     ReadRequest,
     Refuse,
-    ToPrimary,
-    ToServer,
+    RouteToPrimary,
+    RouteToReplica,
     WaitForReplica,
     choose_read,
 )
@@ -31,15 +31,15 @@
     "b",
     position=Position(2, 60),
     complete_as_of=97.0,
-    behind=3.0,
-    expected=0.01,
+    replication_lag=3.0,
+    expected_response_time=0.01,
 )
 CLOSE = Candidate(
     "c",
     position=Position(2, 79),
     complete_as_of=99.5,
-    behind=0.5,
-    expected=0.01,
+    replication_lag=0.5,
+    expected_response_time=0.01,
 )
 SERVERS = (PRIMARY, BEHIND, CLOSE)
 
@@ -48,15 +48,15 @@
     servers: tuple[Candidate, ...] = SERVERS,
     token: str | None = None,
     max_age_ms: int | None = None,
-    hold: ReadHold | None = None,
+    constraint: ReadConstraint | None = None,
 ) -> ReadChoice:
     position = Position.parse(token) if token else None
-    request = ReadRequest("ledger", NOW + 5, position, max_age_ms, hold)
+    request = ReadRequest("ledger", NOW + 5, position, max_age_ms, constraint)
     return choose_read(request, servers, BRANCH, NOW, random.Random(1))
 
 
-def test_without_token_and_age_the_primary_answers() -> None:
-    assert choose() == ToPrimary()
+def test_read_without_token_or_age_goes_to_primary() -> None:
+    assert choose() == RouteToPrimary()
 
 
 @pytest.mark.parametrize(
@@ -68,11 +68,11 @@
     ],
     ids=["token", "age", "both"],
 )
-def test_a_replica_that_meets_all_bounds_answers(
+def test_read_goes_to_replica_that_meets_all_bounds(
     token: str | None, max_age_ms: int | None, server: str
 ) -> None:
     choice = choose(token=token, max_age_ms=max_age_ms)
-    assert choice == ToServer(server, 99.5)
+    assert choice == RouteToReplica(server, 99.5)
 
 
 @pytest.mark.parametrize(
@@ -80,10 +80,10 @@
     [("2:80", None), (None, 100), ("2:80", 9000), ("2:60", 505)],
     ids=["token", "age", "token within age", "age leaves no time"],
 )
-def test_the_primary_answers_what_no_replica_may(
+def test_read_goes_to_primary_if_no_replica_qualifies(
     token: str | None, max_age_ms: int | None
 ) -> None:
-    assert choose(token=token, max_age_ms=max_age_ms) == ToPrimary()
+    assert choose(token=token, max_age_ms=max_age_ms) == RouteToPrimary()
 
 
 @pytest.mark.parametrize(
@@ -96,77 +96,94 @@
     ],
     ids=["leaving", "joining", "failing", "divergent"],
 )
-def test_a_server_that_may_not_be_used_gets_nothing(
+def test_unusable_replica_gets_no_reads(
     changes: dict[str, object],
 ) -> None:
     changed = attrs.evolve(CLOSE, **changes)
-    assert choose((PRIMARY, changed), token="2:70") == ToPrimary()
+    assert choose((PRIMARY, changed), token="2:70") == RouteToPrimary()
 
 
-def test_a_lost_token_is_refused() -> None:
+def test_read_with_lost_token_position_is_refused() -> None:
     choice = choose(token="1:51", max_age_ms=9000)
     assert isinstance(choice, Refuse)
     assert choice.outcome.reason is NotRunReason.WRITE_LOST
 
 
-def test_a_token_of_an_unknown_term_is_not_called_lost() -> None:
+def test_token_of_unknown_term_is_refused_as_stale() -> None:
     choice = choose(token="3:90")
     assert isinstance(choice, Refuse)
     assert choice.outcome.reason is NotRunReason.STALE_TOKEN
     assert choice.outcome.retry_after_ms
 
 
-def test_the_last_read_pins_the_session_until_it_is_bounded() -> None:
-    assert choose(max_age_ms=9000, hold=ReadHold("b")) == ToServer("b", 97.0)
-    gone = (PRIMARY, CLOSE)
-    assert choose(gone, max_age_ms=9000, hold=ReadHold("b")) == ToPrimary()
-    bounded = ReadHold("b", Position(2, 79))
-    assert choose(gone, max_age_ms=9000, hold=bounded) == ToServer("c", 99.5)
-    above = ReadHold("b", Position(2, 80))
-    assert choose(gone, max_age_ms=9000, hold=above) == ToPrimary()
-    lost = choose(max_age_ms=9000, hold=ReadHold("b", None, lost=True))
+def test_last_read_pins_session_until_its_position_is_bounded() -> None:
+    assert choose(
+        max_age_ms=9000, constraint=ReadConstraint("b")
+    ) == RouteToReplica("b", 97.0)
+    without_b = (PRIMARY, CLOSE)
+    assert (
+        choose(without_b, max_age_ms=9000, constraint=ReadConstraint("b"))
+        == RouteToPrimary()
+    )
+    bounded = ReadConstraint("b", Position(2, 79))
+    assert choose(
+        without_b, max_age_ms=9000, constraint=bounded
+    ) == RouteToReplica("c", 99.5)
+    above = ReadConstraint("b", Position(2, 80))
+    assert (
+        choose(without_b, max_age_ms=9000, constraint=above) == RouteToPrimary()
+    )
+    lost = choose(
+        max_age_ms=9000, constraint=ReadConstraint("b", None, lost=True)
+    )
     assert isinstance(lost, Refuse)
 
 
-def test_a_wait_is_chosen_only_where_it_beats_the_primary() -> None:
-    soon = attrs.evolve(CLOSE, catch_up=0.03)
-    late = attrs.evolve(CLOSE, catch_up=0.5)
-    busy = attrs.evolve(PRIMARY, expected=1.0)
-    choice = choose((PRIMARY, soon), token="2:80")
+def test_read_waits_for_replica_only_if_faster_than_primary() -> None:
+    short_wait = attrs.evolve(CLOSE, catch_up_seconds=0.03)
+    long_wait = attrs.evolve(CLOSE, catch_up_seconds=0.5)
+    busy = attrs.evolve(PRIMARY, expected_response_time=1.0)
+    choice = choose((PRIMARY, short_wait), token="2:80")
     assert isinstance(choice, WaitForReplica)
     assert NOW + 0.03 <= choice.until < NOW + 0.1
-    assert choose((PRIMARY, late), token="2:80") == ToPrimary()
-    assert isinstance(choose((busy, late), token="2:80"), WaitForReplica)
-    too_late = attrs.evolve(CLOSE, catch_up=5.0)
-    assert choose((busy, too_late), token="2:80") == ToPrimary()
+    assert choose((PRIMARY, long_wait), token="2:80") == RouteToPrimary()
+    assert isinstance(choose((busy, long_wait), token="2:80"), WaitForReplica)
+    beyond_deadline = attrs.evolve(CLOSE, catch_up_seconds=5.0)
+    assert choose((busy, beyond_deadline), token="2:80") == RouteToPrimary()
 
 
-def test_new_probes_are_awaited_where_they_may_prove_the_age() -> None:
+def test_read_waits_for_probes_that_may_prove_its_max_age() -> None:
     unknown = Candidate("b")
-    caught_up = attrs.evolve(CLOSE, behind=0.0)
+    caught_up = attrs.evolve(CLOSE, replication_lag=0.0)
     for candidate in (unknown, caught_up):
         choice = choose((PRIMARY, candidate), max_age_ms=400)
         assert isinstance(choice, WaitForReplica)
         assert choice.probe
-        held = ReadHold("a")
-        pinned = choose((PRIMARY, candidate), max_age_ms=400, hold=held)
-        assert pinned == ToPrimary()
+        pinned_to_primary = ReadConstraint("a")
+        pinned = choose(
+            (PRIMARY, candidate), max_age_ms=400, constraint=pinned_to_primary
+        )
+        assert pinned == RouteToPrimary()
     request = ReadRequest("ledger", NOW + 5, None, 400, may_wait=False)
     servers = (PRIMARY, caught_up)
     choice = choose_read(request, servers, BRANCH, NOW, random.Random(1))
-    assert choice == ToPrimary()
+    assert choice == RouteToPrimary()
 
 
-def test_the_shorter_queue_is_chosen_and_near_ties_keep_the_session() -> None:
-    busy = attrs.evolve(BEHIND, position=Position(2, 79), expected=0.03)
-    assert choose((PRIMARY, busy, CLOSE), token="2:79") == ToServer("c", 99.5)
-    near = attrs.evolve(busy, expected=0.0105)
-    hold = ReadHold("b", Position(2, 79))
-    choice = choose((PRIMARY, near, CLOSE), token="2:79", hold=hold)
-    assert choice == ToServer("b", 97.0)
+def test_fastest_replica_wins_and_near_ties_keep_last_replica() -> None:
+    busy = attrs.evolve(
+        BEHIND, position=Position(2, 79), expected_response_time=0.03
+    )
+    assert choose((PRIMARY, busy, CLOSE), token="2:79") == RouteToReplica(
+        "c", 99.5
+    )
+    near = attrs.evolve(busy, expected_response_time=0.0105)
+    constraint = ReadConstraint("b", Position(2, 79))
+    choice = choose((PRIMARY, near, CLOSE), token="2:79", constraint=constraint)
+    assert choice == RouteToReplica("b", 97.0)
 
 
-def test_no_usable_server_is_refused_with_a_time() -> None:
+def test_refusal_without_usable_server_has_retry_after() -> None:
     choice = choose((), token="2:70")
     assert isinstance(choice, Refuse)
     assert choice.outcome.retry_after_ms
--- a/packages/jackdawcrank-policy/tests/routing/test_routing_table.py
+++ b/packages/jackdawcrank-policy/tests/routing/test_routing_table.py
@@ -6,9 +6,9 @@
 
 from jackdawcrank_policy.routing import (
     ReadRequest,
+    RouteToReplica,
     RoutingTable,
     ServerLoad,
-    ToServer,
 )
 from jackdawcrank_policy.values import (
     Branch,
@@ -40,32 +40,32 @@
     return {table.choose(REQUEST, 2.0, rng) for _ in range(20)}
 
 
-def test_equal_replicas_share_the_reads(table: RoutingTable) -> None:
-    assert chosen(table) == {ToServer("b"), ToServer("c")}
+def test_equal_replicas_share_reads(table: RoutingTable) -> None:
+    assert chosen(table) == {RouteToReplica("b"), RouteToReplica("c")}
 
 
-def test_reads_avoid_queue_latency_and_errors(table: RoutingTable) -> None:
+def test_reads_avoid_queues_latency_and_errors(table: RoutingTable) -> None:
     for _ in range(3):
         table.loads["b"].start()
-    assert chosen(table) == {ToServer("c")}
+    assert chosen(table) == {RouteToReplica("c")}
     for _ in range(3):
         table.loads["b"].finish(0.008, False, 2.0)
     far = {**LATENCIES, "c": 0.04}
     table.set_servers(SPECS, slots=2, latencies=far)
-    assert chosen(table) == {ToServer("b")}
+    assert chosen(table) == {RouteToReplica("b")}
     for _ in range(3):
         table.loads["b"].start()
         table.loads["b"].finish(0.008, True, 2.0)
-    assert chosen(table) == {ToServer("c")}
+    assert chosen(table) == {RouteToReplica("c")}
 
 
-def test_a_removed_server_loses_its_evidence(table: RoutingTable) -> None:
+def test_removed_server_loses_its_evidence(table: RoutingTable) -> None:
     table.set_servers(SPECS[:2], slots=2, latencies=LATENCIES)
-    assert chosen(table) == {ToServer("b")}
+    assert chosen(table) == {RouteToReplica("b")}
     assert table.evidence.position("c") is None
 
 
-def test_errors_wear_off() -> None:
+def test_error_score_decays() -> None:
     load = ServerLoad()
     for _ in range(4):
         load.start()
--- a/packages/jackdawcrank-policy/tests/routing/test_session_guarantees.py
+++ b/packages/jackdawcrank-policy/tests/routing/test_session_guarantees.py
@@ -11,10 +11,10 @@
 from jackdawcrank_policy.routing import (
     ReadRequest,
     Refuse,
+    RouteToPrimary,
+    RouteToReplica,
     RoutingTable,
     SessionReads,
-    ToPrimary,
-    ToServer,
 )
 from jackdawcrank_policy.tokens import SessionToken, TokenSigner
 from jackdawcrank_policy.values import (
@@ -45,7 +45,7 @@
     log: list[Entry] = attrs.Factory(list)
     fence: int = 1
     upstream: str = ""
-    leads: bool = False
+    is_primary: bool = False
     alive: bool = True
 
     def position(self) -> Position:
@@ -53,7 +53,7 @@
         return Position(term, len(self.log))
 
     def report(self) -> ServerReport:
-        role = ServerRole.PRIMARY if self.leads else ServerRole.REPLICA
+        role = ServerRole.PRIMARY if self.is_primary else ServerRole.REPLICA
         return ServerReport(self.name, self.fence, role, self.position(), True)
 
 
@@ -77,7 +77,7 @@
 class Read:
     home: Home
     server: Server
-    choice: ToServer | ToPrimary
+    choice: RouteToReplica | RouteToPrimary
     request: ReadRequest
     branch: Branch
     seen: frozenset[Entry] | None = None
@@ -114,13 +114,13 @@
         self.preparing = 0
         self.fenced: set[str] = set()
         self.servers = {n: Server(n, upstream="a") for n in "abc"}
-        self.servers["a"].leads = True
+        self.servers["a"].is_primary = True
         self.homes = [self.new_home() for _ in range(3)]
         self.sessions = [Session() for _ in range(4)]
         self.probes: list[Probe] = []
         self.acknowledged: list[tuple[float, Entry]] = []
         self.replica_answers = 0
-        self.losses_told = 0
+        self.losses_reported = 0
 
     def new_home(self) -> Home:
         home = Home(f"h{next(self.numbers)}", RoutingTable())
@@ -159,7 +159,7 @@
     def replicate(self) -> None:
         server = self.any_server()
         upstream = self.servers.get(server.upstream)
-        if upstream is None or server.leads or not upstream.alive:
+        if upstream is None or server.is_primary or not upstream.alive:
             return
         if server.alive and server.log == upstream.log[: len(server.log)]:
             end = len(server.log) + self.rng.randint(1, 4)
@@ -175,31 +175,31 @@
 
     def open_term(self) -> None:
         fenced = [self.servers[name] for name in sorted(self.fenced)]
-        fit = [s for s in fenced if self.branch.keeps(s.position())]
+        eligible = [s for s in fenced if self.branch.keeps(s.position())]
         last = self.branch.starts[-1].offset
-        fit = [s for s in fit if len(s.log) >= last]
-        if len(fenced) < 2 or not fit:
+        eligible = [s for s in eligible if len(s.log) >= last]
+        if len(fenced) < 2 or not eligible:
             return
         self.now = max(self.now, *(h.lease_until + 0.01 for h in self.homes))
-        chosen = max(fit, key=lambda server: len(server.log))
+        chosen = max(eligible, key=lambda server: len(server.log))
         start = TermStart(self.preparing, len(chosen.log))
         self.branch = self.branch.extended(start)
         self.primary, self.preparing = chosen.name, 0
         self.fenced = set()
         for server in self.servers.values():
-            server.leads = server.leads and server.fence < start.term
-        chosen.leads = True
+            server.is_primary = server.is_primary and server.fence < start.term
+        chosen.is_primary = True
 
     def repoint(self) -> None:
         server = self.any_server()
         if self.preparing or not server.alive or server.name == self.primary:
             return
-        leader = self.servers[self.primary]
-        same = zip(server.log, leader.log, strict=False)
+        primary = self.servers[self.primary]
+        same = zip(server.log, primary.log, strict=False)
         kept = itertools.takewhile(lambda pair: pair[0] == pair[1], same)
         server.log = [entry for entry, _ in kept]
         server.fence, server.upstream = self.branch.term, self.primary
-        server.leads = False
+        server.is_primary = False
 
     def send_probe(self) -> None:
         home = self.rng.choice(self.homes)
@@ -253,21 +253,21 @@
             self.now + 5,
             session.decoded().position(GROUP),
             self.rng.choice((None, 100, 1000, 5000)),
-            session.reads.hold(GROUP, evidence, home.name, self.now),
+            session.reads.constraint(GROUP, evidence, home.name, self.now),
         )
         choice = home.table.choose(request, self.now, self.rng)
         if isinstance(choice, Refuse):
             self.refused(session, choice)
-        if not isinstance(choice, ToServer | ToPrimary):
+        if not isinstance(choice, RouteToReplica | RouteToPrimary):
             return
-        to_primary = isinstance(choice, ToPrimary)
+        to_primary = isinstance(choice, RouteToPrimary)
         name = home.table.primary if to_primary else choice.server
         server, branch = self.servers[name], evidence.branch
         session.running = Read(home, server, choice, request, branch)
 
     def refused(self, session: Session, choice: Refuse) -> None:
         if choice.outcome.reason is NotRunReason.WRITE_LOST:
-            self.losses_told += 1
+            self.losses_reported += 1
             session.token = SIGNER.sign(session.decoded().without(GROUP))
             session.reads.forget(GROUP)
             session.seen.clear()
@@ -283,15 +283,15 @@
         read = session.running
         if read is None:
             return
-        if read.seen is not None and self.stands(read):
+        if read.seen is not None and self.is_valid(read):
             self.answer(session, read, read.seen)
             session.running = None
         elif self.rng.random() < 0.3:
             session.running = None
 
-    def stands(self, read: Read) -> bool:
+    def is_valid(self, read: Read) -> bool:
         evidence = read.home.table.evidence
-        if isinstance(read.choice, ToPrimary):
+        if isinstance(read.choice, RouteToPrimary):
             held = read.answered_at <= read.home.lease_until
             return held and evidence.branch == read.branch
         return answer_stands(
@@ -307,7 +307,7 @@
     ) -> None:
         assert session.seen <= seen
         self.check_age(read, seen)
-        self.replica_answers += isinstance(read.choice, ToServer)
+        self.replica_answers += isinstance(read.choice, RouteToReplica)
         session.seen |= seen
         term = read.branch.term
         session.reads.record(
@@ -324,19 +324,21 @@
             if acknowledged_at <= horizon and entry in kept:
                 assert entry in seen
 
-    def roam(self) -> None:
+    def move_session(self) -> None:
         session = self.rng.choice(self.sessions)
         home = self.rng.choice(self.homes)
         evidence = home.table.evidence
-        if session.running is not None or GROUP not in session.reads.marks:
+        if session.running is not None or GROUP not in session.reads.by_group:
             return
-        hold = session.reads.hold(GROUP, evidence, home.name, self.now)
-        if hold is None or hold.bound is None:
+        constraint = session.reads.constraint(
+            GROUP, evidence, home.name, self.now
+        )
+        if constraint is None or constraint.bound is None:
             return
         branch = evidence.branch
         judged = session.decoded().judged_by(GROUP, branch)
-        if judged and hold.bound.term <= branch.term:
-            session.advance(hold.bound, branch)
+        if judged and constraint.bound.term <= branch.term:
+            session.advance(constraint.bound, branch)
             session.reads.forget(GROUP)
 
 
@@ -357,7 +359,7 @@
     "start_read": 15,
     "run_read": 40,
     "deliver_read": 40,
-    "roam": 3,
+    "move_session": 3,
 }
 
 
@@ -371,12 +373,12 @@
 
 @hypothesis.settings(max_examples=100, deadline=None, derandomize=True)
 @hypothesis.given(seed=st.integers(0, 2**32))
-def test_sessions_see_their_writes_and_never_go_back(seed: int) -> None:
+def test_sessions_read_their_writes_and_read_monotonically(seed: int) -> None:
     walk(seed)
 
 
-def test_the_walks_reach_replicas_terms_and_losses() -> None:
+def test_walks_cover_replica_reads_new_terms_and_lost_writes() -> None:
     walks = [walk(seed) for seed in range(20)]
     assert sum(w.replica_answers for w in walks) > 300
     assert sum(w.branch.term for w in walks) > 40
-    assert sum(w.losses_told for w in walks) > 5
+    assert sum(w.losses_reported for w in walks) > 5
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/read_path.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/read_path.py
@@ -16,12 +16,12 @@
 from jackdawcrank.results import result_error, result_from_answer
 from jackdawcrank_policy.freshness import answer_stands
 from jackdawcrank_policy.routing import (
-    ReadHold,
+    ReadConstraint,
     ReadRequest,
     Refuse,
+    RouteToPrimary,
+    RouteToReplica,
     SessionReads,
-    ToPrimary,
-    ToServer,
     WaitForReplica,
 )
 from jackdawcrank_policy.values import (
@@ -113,13 +113,13 @@
             deadline=deadline,
             token_position=token,
             max_age_ms=max_age_ms,
-            hold=self._hold(request),
-            primary_relief=self.state.spec.replica_wait_ms / 1000,
+            constraint=self._hold(request),
+            replica_wait_seconds=self.state.spec.replica_wait_ms / 1000,
         )
 
-    def _hold(self, request: StatementRequest) -> ReadHold | None:
+    def _hold(self, request: StatementRequest) -> ReadConstraint | None:
         evidence = self.state.table.evidence
-        return self._session_reads(request).hold(request.group, evidence)
+        return self._session_reads(request).constraint(request.group, evidence)
 
     def _session_reads(self, request: StatementRequest) -> SessionReads:
         reads = SessionReads()
@@ -153,7 +153,9 @@
             await self._probe_both(choice.server)
         else:
             await self._wait_until_reached(choice, wanted)
-        return attrs.evolve(wanted, may_wait=False, hold=self._hold(request))
+        return attrs.evolve(
+            wanted, may_wait=False, constraint=self._hold(request)
+        )
 
     async def _probe_both(self, server: str) -> None:
         names = {server, self.state.table.primary} & self.state.controls.keys()
@@ -175,7 +177,7 @@
 
     def _choose(
         self, wanted: ReadRequest
-    ) -> ToServer | ToPrimary | WaitForReplica | Refuse:
+    ) -> RouteToReplica | RouteToPrimary | WaitForReplica | Refuse:
         return self.state.table.choose(
             wanted, self.state.clock(), self.state.rng
         )
@@ -188,7 +190,7 @@
             choice = self._choose(wanted)
             if isinstance(choice, Refuse):
                 return result_error(choice.outcome)
-            if isinstance(choice, ToServer):
+            if isinstance(choice, RouteToReplica):
                 result = await self._on_replica(
                     request, wanted, choice, deadline
                 )
@@ -206,7 +208,7 @@
         self,
         request: StatementRequest,
         wanted: ReadRequest,
-        choice: ToServer,
+        choice: RouteToReplica,
         deadline: float,
     ) -> StatementResult | None:
         """Return a replica's result, or None if it must not be used."""
