--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/limits/caller_limits.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/limits/caller_limits.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define
-class CallerUse:
+class CallerUsage:
     """What one caller uses.
 
     Attributes:
@@ -48,9 +48,9 @@
 
     spec: CallerClassSpec
     max_callers: int = MAX_CALLERS
-    callers: dict[str, CallerUse] = attrs.Factory(dict)
+    callers: dict[str, CallerUsage] = attrs.Factory(dict)
 
-    def offer(self, caller: str, now: float) -> NotRun | None:
+    def admit(self, caller: str, now: float) -> NotRun | None:
         """Count a statement of a caller, or refuse it.
 
         Args:
@@ -60,18 +60,18 @@
         Returns:
           None if the statement may go on; `finish` has to follow.
         """
-        use = self.use(caller, now)
-        if use is None:
+        usage = self.usage(caller, now)
+        if usage is None:
             return self.refuse("too many callers at once", BUSY_RETRY_AFTER_MS)
-        if use.running >= self.spec.max_concurrent:
+        if usage.running >= self.spec.max_concurrent:
             return self.refuse(
                 "too many statements at once", BUSY_RETRY_AFTER_MS
             )
-        if self.spec.rate_per_second and use.tokens < 1:
-            wait = (1 - use.tokens) / self.spec.rate_per_second
+        if self.spec.rate_per_second and usage.tokens < 1:
+            wait = (1 - usage.tokens) / self.spec.rate_per_second
             return self.refuse("too many statements", math.ceil(wait * 1000))
-        use.tokens -= 1
-        use.running += 1
+        usage.tokens -= 1
+        usage.running += 1
         return None
 
     def finish(self, caller: str) -> None:
@@ -83,33 +83,35 @@
         after_ms = max(MIN_RETRY_AFTER_MS, after_ms)
         return NotRun(NotRunReason.LIMITED, detail, after_ms)
 
-    def use(self, caller: str, now: float) -> CallerUse | None:
+    def usage(self, caller: str, now: float) -> CallerUsage | None:
         """Return a caller's use, brought up to date and made most recent."""
-        use = self.callers.pop(caller, None)
-        if use is None:
-            if not self.make_room(now):
+        usage = self.callers.pop(caller, None)
+        if usage is None:
+            if not self.ensure_capacity(now):
                 return None
-            use = CallerUse(self.spec.burst, now)
-        self.refill(use, now)
-        self.callers[caller] = use
-        return use
+            usage = CallerUsage(self.spec.burst, now)
+        self.refill(usage, now)
+        self.callers[caller] = usage
+        return usage
 
-    def refill(self, use: CallerUse, now: float) -> None:
+    def refill(self, usage: CallerUsage, now: float) -> None:
         """Add the tokens that have come in since the last time."""
-        earned = (now - use.filled_at) * self.spec.rate_per_second
+        added = (now - usage.filled_at) * self.spec.rate_per_second
         if not self.spec.rate_per_second:
-            earned = self.spec.burst
-        use.tokens = min(self.spec.burst, use.tokens + earned)
-        use.filled_at = now
+            added = self.spec.burst
+        usage.tokens = min(self.spec.burst, usage.tokens + added)
+        usage.filled_at = now
 
-    def make_room(self, now: float) -> bool:
+    def ensure_capacity(self, now: float) -> bool:
         """Forget one of the least recent callers; return if one more fits."""
         if len(self.callers) < self.max_callers:
             return True
-        oldest = itertools.islice(self.callers.items(), MAX_CALLERS_EXAMINED)
-        for caller, use in oldest:
-            self.refill(use, now)
-            if use.running == 0 and use.tokens >= self.spec.burst:
+        least_recent = itertools.islice(
+            self.callers.items(), MAX_CALLERS_EXAMINED
+        )
+        for caller, usage in least_recent:
+            self.refill(usage, now)
+            if usage.running == 0 and usage.tokens >= self.spec.burst:
                 del self.callers[caller]
                 return True
         return False
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/may_retry.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/may_retry.py
@@ -20,7 +20,7 @@
 
 
 # Reasons that another server or a moment's wait may cure.
-PASSING_REASONS = frozenset(
+TRANSIENT_REASONS = frozenset(
     {
         NotRunReason.NO_PRIMARY,
         NotRunReason.NO_SERVER,
@@ -30,7 +30,7 @@
     }
 )
 # Lock wait timeout and deadlock.
-PASSING_CODES = frozenset({1205, 1213})
+TRANSIENT_ERROR_CODES = frozenset({1205, 1213})
 
 
 @functools.singledispatch
@@ -51,13 +51,13 @@
 
 @may_retry.register
 def _(outcome: NotRun, kind: StatementKind, repeatable: bool) -> bool:
-    return outcome.reason in PASSING_REASONS
+    return outcome.reason in TRANSIENT_REASONS
 
 
 @may_retry.register
 def _(outcome: Failed, kind: StatementKind, repeatable: bool) -> bool:
-    ran_twice_is_fine = kind is StatementKind.READ and repeatable
-    return ran_twice_is_fine and outcome.code in PASSING_CODES
+    repeat_allowed = kind is StatementKind.READ and repeatable
+    return repeat_allowed and outcome.code in TRANSIENT_ERROR_CODES
 
 
 @may_retry.register
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/retry_budget.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/retry_budget.py
@@ -3,7 +3,7 @@
 import attrs
 
 RETRY_FRACTION = 0.1
-MAX_SAVED_RETRIES = 10.0
+MAX_BALANCE = 10.0
 
 
 @attrs.define
@@ -12,21 +12,21 @@
 
     Attributes:
       fraction: Retries that each first attempt allows.
-      maximum: The most retries that can be saved up.
-      saved: The retries saved up.
+      max_balance: The most retries that can be saved up.
+      balance: The retries saved up.
     """
 
     fraction: float = RETRY_FRACTION
-    maximum: float = MAX_SAVED_RETRIES
-    saved: float = 0.0
+    max_balance: float = MAX_BALANCE
+    balance: float = 0.0
 
-    def attempt(self) -> None:
+    def record_attempt(self) -> None:
         """Count a first attempt."""
-        self.saved = min(self.maximum, self.saved + self.fraction)
+        self.balance = min(self.max_balance, self.balance + self.fraction)
 
-    def take(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Take one retry; return whether there was one."""
-        if self.saved < 1.0:
+        if self.balance < 1.0:
             return False
-        self.saved -= 1.0
+        self.balance -= 1.0
         return True
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/floors/floor_history.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/watermarks/watermark_history.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Floor:
+class Watermark:
     """A position that holds every commit acknowledged before an instant.
 
     Attributes:
@@ -28,7 +28,7 @@
 
 
 @attrs.define
-class FloorHistory:
+class WatermarkHistory:
     """The floors of one group, learned from its primary's answers.
 
     A commit acknowledged before a question was sent is at or below the
@@ -36,12 +36,12 @@
     a server that has the position lacks no commit older than the question.
 
     Attributes:
-      floors: The floors in the order of their questions.
+      watermarks: The floors in the order of their questions.
     """
 
-    floors: collections.deque[Floor] = attrs.Factory(collections.deque)
+    watermarks: collections.deque[Watermark] = attrs.Factory(collections.deque)
 
-    def learn(self, asked_at: float, position: Position) -> None:
+    def add(self, asked_at: float, position: Position) -> None:
         """Take in an answer of a server that is proved to have led.
 
         Args:
@@ -54,24 +54,24 @@
                 return
             if asked_at - newest.asked_at < MIN_STEP_SECONDS:
                 return
-        self.floors.append(Floor(asked_at, position))
-        while self.floors[0].asked_at < asked_at - KEEP_SECONDS:
-            self.floors.popleft()
+        self.watermarks.append(Watermark(asked_at, position))
+        while self.watermarks[0].asked_at < asked_at - KEEP_SECONDS:
+            self.watermarks.popleft()
 
-    def newest(self) -> Floor | None:
+    def newest(self) -> Watermark | None:
         """Return the floor of the latest question, or None."""
-        return self.floors[-1] if self.floors else None
+        return self.watermarks[-1] if self.watermarks else None
 
-    def oldest_within(self, now: float, max_age: float) -> Floor | None:
+    def oldest_within(self, now: float, max_age: float) -> Watermark | None:
         """Return the oldest floor that still proves an age, or None.
 
         The oldest one is best: replicas have had the most time to reach it.
 
         Args:
-          now: The current time, on the clock of `learn`.
+          now: The current time, on the clock of `add`.
           max_age: The greatest age in seconds.
         """
-        for floor in self.floors:
-            if now - floor.asked_at <= max_age:
-                return floor
+        for watermark in self.watermarks:
+            if now - watermark.asked_at <= max_age:
+                return watermark
         return None
--- a/packages/jackdawcrank-policy/tests/limits/test_caller_limits.py
+++ b/packages/jackdawcrank-policy/tests/limits/test_caller_limits.py
@@ -14,13 +14,13 @@
 
 
 def run(limits: CallerLimits, caller: str, now: float) -> NotRun | None:
-    refusal = limits.offer(caller, now)
+    refusal = limits.admit(caller, now)
     if refusal is None:
         limits.finish(caller)
     return refusal
 
 
-def test_the_rate_is_bounded_and_the_hint_is_exact(
+def test_rate_is_limited_with_exact_retry_after(
     limits: CallerLimits,
 ) -> None:
     assert [run(limits, "a", 0.0) for _ in range(3)] == [None] * 3
@@ -32,15 +32,17 @@
     assert run(limits, "a", 0.101) is None
 
 
-def test_concurrency_is_bounded(limits: CallerLimits) -> None:
-    assert limits.offer("a", 0.0) is None
-    assert limits.offer("a", 0.0) is None
-    assert limits.offer("a", 0.0) is not None
+def test_concurrency_is_limited(limits: CallerLimits) -> None:
+    assert limits.admit("a", 0.0) is None
+    assert limits.admit("a", 0.0) is None
+    assert limits.admit("a", 0.0) is not None
     limits.finish("a")
-    assert limits.offer("a", 0.0) is None
+    assert limits.admit("a", 0.0) is None
 
 
-def test_memory_is_bounded_without_giving_more(limits: CallerLimits) -> None:
+def test_full_caller_table_does_not_refill_buckets(
+    limits: CallerLimits,
+) -> None:
     assert [run(limits, "a", 0.0) for _ in range(3)] == [None] * 3
     assert run(limits, "b", 0.0) is None
     assert run(limits, "c", 0.0) is not None
@@ -52,6 +54,6 @@
     assert run(limits, "a", 0.2) is not None
 
 
-def test_no_rate_means_no_rate_limit() -> None:
+def test_class_without_rate_has_no_rate_limit() -> None:
     limits = CallerLimits(CallerClassSpec("default", burst=1))
     assert all(run(limits, "a", 0.0) is None for _ in range(100))
--- a/packages/jackdawcrank-policy/tests/retry/test_may_retry.py
+++ b/packages/jackdawcrank-policy/tests/retry/test_may_retry.py
@@ -32,7 +32,7 @@
         (Done(), READ, True, False),
     ],
 )
-def test_only_what_cannot_run_twice_is_sent_again(
+def test_only_safe_retries_are_allowed(
     outcome: Outcome, kind: StatementKind, repeatable: bool, expected: bool
 ) -> None:
     assert may_retry(outcome, kind, repeatable) is expected
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/caller_classes.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/caller_classes.py
@@ -57,7 +57,7 @@
         """
         limits = self.limits.get(self.name_of(user))
         if limits is not None:
-            refusal = limits.offer(user, self.clock())
+            refusal = limits.admit(user, self.clock())
             if refusal is not None:
                 return refusal
         waiting = self.admitted.setdefault(user, collections.deque())
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
@@ -180,10 +180,10 @@
     async def _outside(self, request: StatementRequest) -> StatementResult:
         """Run a statement that no transaction ties to a home."""
         deadline = self.clock() + request.deadline_ms / 1000
-        self.retries.attempt()
+        self.retries.record_attempt()
         result: StatementResult | None = None
         for number, home in enumerate(self._homes(request)):
-            if number and not self.retries.take():
+            if number and not self.retries.try_withdraw():
                 break
             attempt = request
             if number:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -12,10 +12,10 @@
 from jackdawcrank.relay.store_contact import StoreContact
 from jackdawcrank.seams.server_link import LinkOpener, OpenFailure
 from jackdawcrank_policy.catalog import ListedServer, ServedGroup
-from jackdawcrank_policy.floors import FloorHistory
 from jackdawcrank_policy.placement import Candidate, Distance, choose
 from jackdawcrank_policy.succession import Doubt, PrimaryDoubt, Relief
 from jackdawcrank_policy.values.position import Position
+from jackdawcrank_policy.watermarks import WatermarkHistory
 
 # A floor is renewed at half of the age that it may have, so that even one that
 # takes a round trip between regions (80 ms) to get comes in time.
@@ -66,7 +66,7 @@
       name: The group's name.
       lanes: The connections by server.
       declared_version: The configuration in force.
-      floors: Positions that prove freshness.
+      watermarks: Positions that prove freshness.
       questions: Asks the group's servers.
       refreshing: Asks the primary for a floor, while that is under way.
       doubt: Evidence against the present primary.
@@ -99,7 +99,7 @@
         self.log = log
         self.lanes: dict[str, ServerLane] = {}
         self.declared_version = 0
-        self.floors = FloorHistory()
+        self.watermarks = WatermarkHistory()
         self.questions = ServerQuestions(self)
         self.refreshing: asyncio.Task[None] | None = None
         self.doubt = PrimaryDoubt()
@@ -391,14 +391,14 @@
         Args:
           max_age: The greatest age in seconds.
         """
-        newest = self.floors.newest()
+        newest = self.watermarks.newest()
         now = boot_seconds()
         if newest is None or now - newest.asked_at > max_age * REFRESH_SHARE:
             self.refresh_floor()
-        floor = self.floors.oldest_within(now, max_age)
+        floor = self.watermarks.oldest_within(now, max_age)
         if floor is None and self.refreshing is not None:
             await asyncio.wait([self.refreshing], timeout=FLOOR_WAIT_SECONDS)
-            floor = self.floors.oldest_within(boot_seconds(), max_age)
+            floor = self.watermarks.oldest_within(boot_seconds(), max_age)
         return floor.position if floor else None
 
     def refresh_floor(self) -> None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -260,7 +260,7 @@
             for one in self.group.lanes.values()
             if one.condition.position
         ]
-        newest = self.group.floors.newest()
+        newest = self.group.watermarks.newest()
         if newest:
             terms.append(newest.position.term)
         return max(terms, default=0) + 1
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -149,7 +149,7 @@
                 # The server refuses every statement of such a transaction
                 # once it has lost the lead.
                 if reply.position:
-                    self.group.floors.learn(sent_at, reply.position)
+                    self.group.watermarks.add(sent_at, reply.position)
                 self.group.doubt.answered()
 
     def not_sent(self, request_id: str, start: float) -> Reply:
@@ -203,7 +203,7 @@
             session.saw(reply.position)
             self.group.doubt.confirmed()
             if reply.position:
-                self.group.floors.learn(sent_at, reply.position)
+                self.group.watermarks.add(sent_at, reply.position)
         elif reply.problem is Problem.NOT_PRIMARY:
             self.group.disown(self.lane)
         return reply
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
@@ -99,7 +99,7 @@
         if lane is self.group.primary_lane():
             self.group.doubt.answered()
             if leads and opened.position:
-                self.group.floors.learn(sent_at, opened.position)
+                self.group.watermarks.add(sent_at, opened.position)
             elif opened.problem is Problem.NOT_PRIMARY:
                 self.group.disown(lane)
         return LeadReply(lane, True, leads, term)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -197,7 +197,7 @@
             session.saw(reply.position)
             group.doubt.confirmed()
             if reply.position:
-                group.floors.learn(sent_at, reply.position)
+                group.watermarks.add(sent_at, reply.position)
         return reply
 
     async def try_read(
@@ -371,7 +371,7 @@
             self.note_refusal(group, lane, opened, attempts)
             return None
         if reply.problem is None and reply.position:
-            group.floors.learn(sent_at, reply.position)
+            group.watermarks.add(sent_at, reply.position)
         return self.judge_read(group, lane, reply, attempts)
 
     def note_refusal(
--- a/packages/jackdawcrank-proxy/tests/process/test_entry_router.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_entry_router.py
@@ -70,7 +70,7 @@
         Metrics(),
         lambda: 0.0,
     )
-    router.retries.saved = 10.0
+    router.retries.balance = 10.0
     return router, links
 
 
