--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/__init__.py
@@ -1,6 +1,6 @@
 """What is proved about the data that each backend server holds."""
 
-from jackdawcrank_policy.freshness.answer_check import answer_stands
+from jackdawcrank_policy.freshness.answer_check import answer_is_valid
 from jackdawcrank_policy.freshness.evidence import Evidence
 from jackdawcrank_policy.freshness.position_history import PositionHistory
 from jackdawcrank_policy.freshness.primary_history import PrimaryHistory
@@ -11,5 +11,5 @@
     "PositionHistory",
     "PrimaryHistory",
     "ServerEvidence",
-    "answer_stands",
+    "answer_is_valid",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/answer_check.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/answer_check.py
@@ -4,7 +4,7 @@
 from jackdawcrank_policy.values import Branch, Position
 
 
-def answer_stands(
+def answer_is_valid(
     evidence: Evidence,
     server: str,
     branch: Branch,
@@ -31,7 +31,7 @@
         return False
     if answered_at <= evidence.term_held_until:
         return True
-    shown = evidence.bound_after(server, answered_at)
-    if shown is None:
+    position_after = evidence.bound_after(server, answered_at)
+    if position_after is None:
         return False
-    return bound is None or shown.offset >= bound.offset
+    return bound is None or position_after.offset >= bound.offset
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/evidence.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/evidence.py
@@ -31,14 +31,14 @@
         that is open, in seconds of the monotonic clock.
       servers: The evidence of each server that is on the branch.
       primary: What is known of the primary's log.
-      newest_sent: When the newest probe that was taken in was sent.
+      latest_probe_sent_at: When the newest probe that was taken in was sent.
     """
 
     branch: Branch = Branch()
     term_held_until: float = -math.inf
     servers: dict[str, ServerEvidence] = attrs.Factory(dict)
     primary: PrimaryHistory = attrs.Factory(PrimaryHistory)
-    newest_sent: dict[str, float] = attrs.Factory(dict)
+    latest_probe_sent_at: dict[str, float] = attrs.Factory(dict)
 
     def begin_term(self, branch: Branch) -> None:
         """Move to a newer branch; keep only servers proved to be on it.
@@ -83,16 +83,16 @@
           answered_at: When the answer came.
         """
         server = report.server
-        if sent_at <= self.newest_sent.get(server, -math.inf):
+        if sent_at <= self.latest_probe_sent_at.get(server, -math.inf):
             return
-        self.newest_sent[server] = sent_at
+        self.latest_probe_sent_at[server] = sent_at
         if report.term < self.branch.term:
             return
         if not self.branch.keeps(report.position):
             self.servers.pop(server, None)
             return
         self.record(report, sent_at)
-        if self.leads(report):
+        if self.is_primary_report(report):
             self.primary.add(sent_at, report.position)
 
     def record(self, report: ServerReport, sent_at: float) -> None:
@@ -109,7 +109,7 @@
         if report.term == self.branch.term:
             known.history.add(sent_at, report.position)
 
-    def leads(self, report: ServerReport) -> bool:
+    def is_primary_report(self, report: ServerReport) -> bool:
         """Return whether a report is that of the branch's primary."""
         if report.role is not ServerRole.PRIMARY:
             return False
@@ -202,12 +202,12 @@
         if known.position.offset >= position.offset:
             return 0.0
         sent_at = known.sent_at
-        held = self.primary.instant_of(known.position.offset, sent_at)
-        wanted = self.primary.instant_of(position.offset, now)
-        if held is None or wanted is None:
+        reached_at = self.primary.instant_of(known.position.offset, sent_at)
+        target_at = self.primary.instant_of(position.offset, now)
+        if reached_at is None or target_at is None:
             return None
-        lag = max(0.0, sent_at - held)
-        return max(0.0, wanted + lag - now)
+        lag = max(0.0, sent_at - reached_at)
+        return max(0.0, target_at + lag - now)
 
     def bound_after(self, server: str, instant: float) -> Position | None:
         """Return a bound of what a read that ended at an instant has seen.
@@ -219,7 +219,7 @@
         known = self.servers.get(server)
         return None if known is None else known.history.first_after(instant)
 
-    def floor(self, servers: tuple[str, ...]) -> Position | None:
+    def min_position(self, servers: tuple[str, ...]) -> Position | None:
         """Return a position that every one of some servers has reached."""
         positions = [self.position(server) for server in servers]
         known = [p for p in positions if p is not None]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/position_history.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/position_history.py
@@ -27,10 +27,10 @@
 
     def add(self, instant: float, position: Position) -> None:
         """Add a point later than all others, in place of a close one."""
-        crowded = len(self.instants) > 1 and (
+        is_too_close = len(self.instants) > 1 and (
             instant - self.instants[-2] < self.spacing
         )
-        if crowded:
+        if is_too_close:
             del self.instants[-1], self.positions[-1]
         self.instants.append(instant)
         self.positions.append(position)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/primary_history.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/primary_history.py
@@ -38,13 +38,13 @@
         if self.offsets and position.offset <= self.offsets[-1]:
             self.instants[-1] = instant
             return
-        if self.crowded(instant):
+        if self.is_too_close(instant):
             return
         self.instants.append(instant)
         self.offsets.append(position.offset)
         del self.instants[:-MAX_POINTS], self.offsets[:-MAX_POINTS]
 
-    def crowded(self, instant: float) -> bool:
+    def is_too_close(self, instant: float) -> bool:
         """Return whether an instant is too close to the last but one."""
         if len(self.instants) < 2:
             return False
--- a/packages/jackdawcrank-policy/tests/freshness/test_evidence.py
+++ b/packages/jackdawcrank-policy/tests/freshness/test_evidence.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from jackdawcrank_policy.freshness import Evidence, answer_stands
+from jackdawcrank_policy.freshness import Evidence, answer_is_valid
 from jackdawcrank_policy.values import (
     Branch,
     Position,
@@ -30,7 +30,7 @@
     return evidence
 
 
-def test_age_counts_from_before_the_probe_of_the_primary(
+def test_age_counts_from_sending_of_primary_probe(
     evidence: Evidence,
 ) -> None:
     evidence.observe(report("a", "1:10", primary=True), 5.0, 5.4)
@@ -41,14 +41,14 @@
     assert evidence.age("b", 8.0) == pytest.approx(2.0)
 
 
-def test_a_replicas_own_word_that_it_caught_up_proves_no_age(
+def test_caught_up_report_of_replica_proves_no_age(
     evidence: Evidence,
 ) -> None:
     evidence.observe(report("b", "1:10"), 7.0, 7.1)
     assert evidence.age("b", 8.0) is None
 
 
-def test_age_does_not_count_instants_without_the_term(
+def test_age_excludes_time_after_term_lease(
     evidence: Evidence,
 ) -> None:
     evidence.observe(report("a", "1:10", primary=True), 120.0, 120.1)
@@ -56,7 +56,7 @@
     assert evidence.age("b", 121.0) == pytest.approx(21.0)
 
 
-def test_a_write_bounds_what_was_in_the_log_before_it(
+def test_write_position_bounds_earlier_log(
     evidence: Evidence,
 ) -> None:
     evidence.observe_write(Position(1, 30), 9.0)
@@ -66,7 +66,7 @@
     assert evidence.age("b", 10.0) == pytest.approx(1.0)
 
 
-def test_a_late_answer_does_not_replace_a_later_probes(
+def test_late_answer_does_not_replace_answer_to_later_probe(
     evidence: Evidence,
 ) -> None:
     evidence.observe(report("b", "1:20"), 2.0, 2.1)
@@ -77,7 +77,7 @@
     assert evidence.position("b") is None
 
 
-def test_a_new_term_drops_servers_that_were_not_fenced(
+def test_new_term_drops_servers_that_were_not_fenced(
     evidence: Evidence,
 ) -> None:
     evidence.observe(report("a", "1:45"), 1.0, 1.1)
@@ -90,7 +90,7 @@
     assert evidence.age("b", 2.0) is None
 
 
-def test_a_divergent_tail_never_counts(evidence: Evidence) -> None:
+def test_divergent_tail_is_not_evidence(evidence: Evidence) -> None:
     evidence.begin_term(SECOND)
     evidence.observe(report("a", "1:55", term=2), 1.0, 1.1)
     assert evidence.position("a") is None
@@ -99,7 +99,7 @@
     assert not evidence.reached("a", Position(1, 51), SECOND)
 
 
-def test_only_a_probe_sent_after_a_read_bounds_it(evidence: Evidence) -> None:
+def test_only_probe_sent_after_read_bounds_it(evidence: Evidence) -> None:
     evidence.observe(report("b", "1:20"), 2.0, 4.0)
     assert evidence.bound_after("b", 3.0) is None
     evidence.observe(report("b", "1:22"), 3.5, 4.5)
@@ -109,7 +109,7 @@
     assert evidence.bound_after("b", 5.0) is None
 
 
-def test_catch_up_expects_the_lag_to_last(evidence: Evidence) -> None:
+def test_catch_up_estimate_assumes_constant_lag(evidence: Evidence) -> None:
     for second in range(20):
         at = float(second)
         primary = report("a", f"1:{second * 10}", primary=True)
@@ -122,14 +122,14 @@
     assert evidence.replication_lag("b") == pytest.approx(3.0)
 
 
-def test_an_answer_stands_only_on_its_branch(evidence: Evidence) -> None:
+def test_answer_is_valid_only_on_its_branch(evidence: Evidence) -> None:
     bound = Position(1, 10)
-    assert answer_stands(evidence, "b", FIRST, bound, 100.0)
-    assert not answer_stands(evidence, "b", FIRST, bound, 100.5)
+    assert answer_is_valid(evidence, "b", FIRST, bound, 100.0)
+    assert not answer_is_valid(evidence, "b", FIRST, bound, 100.5)
     evidence.observe(report("b", "1:9"), 101.0, 101.1)
-    assert not answer_stands(evidence, "b", FIRST, bound, 100.5)
+    assert not answer_is_valid(evidence, "b", FIRST, bound, 100.5)
     evidence.observe(report("b", "1:10"), 102.0, 102.1)
-    assert answer_stands(evidence, "b", FIRST, None, 100.5)
-    assert answer_stands(evidence, "b", FIRST, bound, 101.5)
+    assert answer_is_valid(evidence, "b", FIRST, None, 100.5)
+    assert answer_is_valid(evidence, "b", FIRST, bound, 101.5)
     evidence.begin_term(SECOND)
-    assert not answer_stands(evidence, "b", FIRST, bound, 99.0)
+    assert not answer_is_valid(evidence, "b", FIRST, bound, 99.0)
--- a/packages/jackdawcrank-policy/tests/freshness/test_position_history.py
+++ b/packages/jackdawcrank-policy/tests/freshness/test_position_history.py
@@ -12,7 +12,7 @@
     gaps=st.lists(st.floats(0.001, 3.0), min_size=1, max_size=400),
     share=st.floats(0.0, 1.0),
 )
-def test_a_bound_is_never_below_the_first_later_probe(
+def test_bound_is_never_below_first_later_probe(
     gaps: list[float], share: float
 ) -> None:
     history = PositionHistory()
@@ -27,7 +27,7 @@
     assert bound is None or bound.offset >= later[0]
 
 
-def test_a_bound_of_minutes_ago_is_close() -> None:
+def test_bound_of_minutes_ago_is_close() -> None:
     history = PositionHistory()
     for tick in range(6000):
         history.add(tick * 0.02, Position(1, tick))
--- a/packages/jackdawcrank-policy/tests/routing/test_session_guarantees.py
+++ b/packages/jackdawcrank-policy/tests/routing/test_session_guarantees.py
@@ -7,7 +7,7 @@
 import hypothesis
 import hypothesis.strategies as st
 
-from jackdawcrank_policy.freshness import answer_stands
+from jackdawcrank_policy.freshness import answer_is_valid
 from jackdawcrank_policy.routing import (
     ReadRequest,
     Refuse,
@@ -294,7 +294,7 @@
         if isinstance(read.choice, RouteToPrimary):
             held = read.answered_at <= read.home.lease_until
             return held and evidence.branch == read.branch
-        return answer_stands(
+        return answer_is_valid(
             evidence,
             read.server.name,
             read.branch,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/read_path.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/read_path.py
@@ -14,7 +14,7 @@
     StatementRunner,
 )
 from jackdawcrank.results import result_error, result_from_answer
-from jackdawcrank_policy.freshness import answer_stands
+from jackdawcrank_policy.freshness import answer_is_valid
 from jackdawcrank_policy.routing import (
     ReadConstraint,
     ReadRequest,
@@ -238,10 +238,12 @@
         evidence = self.state.table.evidence
         if branch != evidence.branch:
             return False
-        if answer_stands(evidence, server, evidence.branch, bound, answered_at):
+        if answer_is_valid(
+            evidence, server, evidence.branch, bound, answered_at
+        ):
             return True
         await self._probe(server)
-        return branch == evidence.branch and answer_stands(
+        return branch == evidence.branch and answer_is_valid(
             evidence, server, evidence.branch, bound, answered_at
         )
 
