--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/__init__.py
@@ -1,4 +1,4 @@
-"""What is proved about the data that each backend server holds."""
+"""Evidence of the data that each backend server holds."""
 
 from jackdawcrank_policy.freshness.answer_check import answer_is_valid
 from jackdawcrank_policy.freshness.evidence import Evidence
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/answer_check.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/answer_check.py
@@ -1,4 +1,4 @@
-"""Whether a read's answer may be given to the caller."""
+"""The check of whether a read's answer may be returned to the caller."""
 
 from jackdawcrank_policy.freshness.evidence import Evidence
 from jackdawcrank_policy.values import Branch, Position
@@ -11,21 +11,21 @@
     bound: Position | None,
     answered_at: float,
 ) -> bool:
-    """Return whether an answer came from a server still on the branch.
+    """Return whether the server was still on the branch when it answered.
 
-    Between the probe that proved a position and the read, a server that is
-    moved to a new term may have removed entries. A new term opens only after
-    the old one's leases, so an answer that came while the term was held is
-    good. Without the lease it takes a probe sent after the answer that shows
-    the bound on the branch. An answer that does not stand is dropped and the
-    read runs again.
+    A server that moves to a new term may remove entries between the probe
+    that proved its position and the read. A new term opens only after the
+    leases of the old one have ended, so an answer that arrived while the term
+    was held is valid. Otherwise, a probe sent after the answer must show that
+    the server is on the branch at or above the bound. An invalid answer is
+    discarded and the read is run again.
 
     Args:
       evidence: The group's evidence.
       server: The server that answered.
-      branch: The branch under which the server was chosen.
+      branch: The branch under which the server was selected.
       bound: The position that the read had to reach, if any.
-      answered_at: When the answer came.
+      answered_at: When the answer arrived, in seconds of the monotonic clock.
     """
     if branch != evidence.branch:
         return False
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/evidence.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/evidence.py
@@ -1,4 +1,4 @@
-"""The evidence of one database group's positions and ages."""
+"""Evidence of the positions and data ages of one database group."""
 
 import math
 
@@ -16,22 +16,24 @@
 
 @attrs.define
 class Evidence:
-    """What is proved of each server of a group on the current branch.
+    """What is proven about each server of a group on the current branch.
 
-    A replica's age counts from an instant by which it holds every write. The
-    primary's position P, shown by a probe sent at t, bounds what was
-    committed before t, so a replica at P or above holds everything up to t.
-    That is true only while no later term is open: instants after
-    `term_held_until` are not counted. A report's `caught_up` is not used,
-    since a replica that is cut off does not know what it lacks.
+    A replica's age is counted from an instant up to which it holds every
+    write. If a probe of the primary sent at time t reports position P, every
+    commit before t is at or below P, so a replica at or above P holds every
+    write up to t. This holds only while no later term is open; instants after
+    `term_held_until` are therefore not used. The `caught_up` field of reports
+    is not used either, because a replica that is cut off does not know which
+    entries it lacks.
 
     Attributes:
-      branch: The branch that the evidence is about.
+      branch: The branch to which the evidence applies.
       term_held_until: Until when the branch's term is known to be the newest
-        that is open, in seconds of the monotonic clock.
-      servers: The evidence of each server that is on the branch.
-      primary: What is known of the primary's log.
-      latest_probe_sent_at: When the newest probe that was taken in was sent.
+        open term, in seconds of the monotonic clock.
+      servers: The evidence of each server on the branch, by name.
+      primary: The known bounds of the primary's log.
+      latest_probe_sent_at: When the latest processed probe of each server was
+        sent, by name, in seconds of the monotonic clock.
     """
 
     branch: Branch = Branch()
@@ -41,10 +43,12 @@
     latest_probe_sent_at: dict[str, float] = attrs.Factory(dict)
 
     def begin_term(self, branch: Branch) -> None:
-        """Move to a newer branch; keep only servers proved to be on it.
+        """Move to a newer branch and keep only servers proven to be on it.
 
-        A server is proved if it was fenced with the branch's term or a later
-        one and its log is on the branch. The term has to be held anew.
+        A server is proven to be on the branch if it was fenced with the
+        branch's term or a later one and its log is on the branch. The new
+        term is not held until `hold_term` is called. An older branch or one
+        of the same term is ignored.
 
         Args:
           branch: The group's new branch.
@@ -64,23 +68,25 @@
         """Record that no later term opens before an instant.
 
         Args:
-          until: The end of the term lease, or the instant of other proof.
+          until: The end of the term lease, or the time up to which another
+            proof applies, in seconds of the monotonic clock.
         """
         self.term_held_until = max(self.term_held_until, until)
 
     def observe(
         self, report: ServerReport, sent_at: float, answered_at: float
     ) -> None:
-        """Take in the answer to a probe.
+        """Process the answer to a probe.
 
-        An answer that was overtaken by a later probe's, and one from before
-        the server was fenced with the branch's term, are ignored. A server
-        whose log is not on the branch loses its evidence.
+        Two kinds of answers are ignored: those that arrive after the answer
+        to a later probe, and those given before the server was fenced with
+        the branch's term. The evidence of a server whose log is not on the
+        branch is removed.
 
         Args:
-          report: What the server answered.
-          sent_at: When the probe was sent.
-          answered_at: When the answer came.
+          report: The server's answer.
+          sent_at: When the probe was sent, in seconds of the monotonic clock.
+          answered_at: When the answer arrived.
         """
         server = report.server
         if sent_at <= self.latest_probe_sent_at.get(server, -math.inf):
@@ -96,10 +102,10 @@
             self.primary.add(sent_at, report.position)
 
     def record(self, report: ServerReport, sent_at: float) -> None:
-        """Store a report of a server that is on the branch.
+        """Store the report of a server on the branch.
 
-        A report from a later fence term proves a position, but bounds no
-        earlier read: the server may have removed entries since.
+        A report with a later fence term proves a position but does not bound
+        earlier reads, because the server may have removed entries since then.
         """
         known = ServerEvidence(report.position, report.term, sent_at)
         earlier = self.servers.get(report.server)
@@ -110,29 +116,29 @@
             known.history.add(sent_at, report.position)
 
     def is_primary_report(self, report: ServerReport) -> bool:
-        """Return whether a report is that of the branch's primary."""
+        """Return whether a report comes from the branch's primary."""
         if report.role is not ServerRole.PRIMARY:
             return False
         return report.term == self.branch.term
 
     def observe_write(self, position: Position, sent_at: float) -> None:
-        """Take in the position of an acknowledged write.
+        """Process the position of an acknowledged write.
 
         Args:
           position: The position in the primary's answer.
-          sent_at: When the write was sent, before which its entry was not
-            in the log.
+          sent_at: When the write was sent, in seconds of the monotonic clock;
+            its entry was not in the log before then.
         """
         if position.term == self.branch.term:
             self.primary.add(sent_at, position)
 
     def position(self, server: str) -> Position | None:
-        """Return the position that a server is proved to have reached."""
+        """Return the position that a server is proven to have reached."""
         known = self.servers.get(server)
         return None if known is None else known.position
 
     def reached(self, server: str, position: Position, branch: Branch) -> bool:
-        """Return whether a server is proved to hold an entry.
+        """Return whether a server is proven to hold an entry.
 
         Args:
           server: The server's name.
@@ -160,7 +166,7 @@
         return instant if math.isfinite(instant) else None
 
     def age(self, server: str, now: float) -> float | None:
-        """Return the greatest age of a server's data in seconds, if known.
+        """Return an upper bound of a server's data age in seconds, if known.
 
         Args:
           server: The server's name.
@@ -170,10 +176,10 @@
         return None if instant is None else max(0.0, now - instant)
 
     def replication_lag(self, server: str) -> float | None:
-        """Return how far a server was behind what is known of the primary.
+        """Return the seconds by which a server trailed the known primary.
 
-        Its age is greater by the time since the primary was probed, which a
-        new probe of both may take away.
+        The data's age is greater by the time since the primary was last
+        probed; new probes of both servers may remove this difference.
 
         Args:
           server: The server's name.
@@ -186,15 +192,18 @@
     def catch_up_seconds(
         self, server: str, position: Position, now: float
     ) -> float | None:
-        """Return how long a server should still need to reach a position.
+        """Estimate the seconds until a server reaches a position.
 
-        The server is taken to stay as far behind as it was when it was last
-        probed. None if that is not known.
+        The estimate assumes that the replication lag stays as it was at the
+        last probe of the server.
 
         Args:
           server: The server's name.
           position: A position on the branch.
-          now: The current time.
+          now: The current time in seconds of the monotonic clock.
+
+        Returns:
+          None if the server's lag or the time of the position is not known.
         """
         known = self.servers.get(server)
         if known is None:
@@ -210,17 +219,20 @@
         return max(0.0, target_at + lag - now)
 
     def bound_after(self, server: str, instant: float) -> Position | None:
-        """Return a bound of what a read that ended at an instant has seen.
+        """Return an upper bound of the position that a past read returned.
 
         Args:
           server: The server that answered the read, in the branch's term.
-          instant: When its answer came.
+          instant: When the answer arrived, in seconds of the monotonic clock.
+
+        Returns:
+          None until a probe sent after the instant has been answered.
         """
         known = self.servers.get(server)
         return None if known is None else known.history.first_after(instant)
 
     def min_position(self, servers: tuple[str, ...]) -> Position | None:
-        """Return a position that every one of some servers has reached."""
+        """Return a position that all given servers have reached, if known."""
         positions = [self.position(server) for server in servers]
         known = [p for p in positions if p is not None]
         if not known or len(known) < len(positions):
@@ -228,10 +240,10 @@
         return min(known, key=lambda p: p.offset)
 
     def forget(self, server: str) -> None:
-        """Drop all evidence of a server.
+        """Remove the evidence of a server.
 
-        Answers to probes that were sent before are still told from later
-        ones, so a late answer does not bring an older position back.
+        The time of its latest probe is kept, so that a late answer to an
+        earlier probe does not restore an older position.
 
         Args:
           server: The server's name.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/position_history.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/position_history.py
@@ -1,4 +1,4 @@
-"""The positions that probes of one server showed over the last minutes."""
+"""The positions that one server reported over the last minutes."""
 
 import bisect
 
@@ -13,12 +13,13 @@
 
 @attrs.define
 class SpacedPoints:
-    """Points that are a least time apart, but for the newest.
+    """Points with a minimum spacing, which the newest point may undercut.
 
     Attributes:
-      spacing: The least seconds between two points.
-      instants: When each point's probe was sent, ascending.
-      positions: The position that each probe showed.
+      spacing: The minimum seconds between two points.
+      instants: When each point's probe was sent, in seconds of the monotonic
+        clock, ascending.
+      positions: The position that each probe reported.
     """
 
     spacing: float
@@ -26,7 +27,11 @@
     positions: list[Position] = attrs.Factory(list)
 
     def add(self, instant: float, position: Position) -> None:
-        """Add a point later than all others, in place of a close one."""
+        """Add the newest point.
+
+        It replaces the last point if the spacing to the one before that is
+        too small.
+        """
         is_too_close = len(self.instants) > 1 and (
             instant - self.instants[-2] < self.spacing
         )
@@ -37,7 +42,7 @@
         del self.instants[:-MAX_POINTS], self.positions[:-MAX_POINTS]
 
     def covers(self, instant: float) -> bool:
-        """Return whether no point after an instant was dropped for age."""
+        """Return whether no point after an instant has been evicted."""
         return bool(self.instants) and instant >= self.instants[0]
 
     def first_after(self, instant: float) -> Position | None:
@@ -48,10 +53,10 @@
 
 @attrs.define
 class PositionHistory:
-    """Points of the last seconds, and sparser ones of the last minutes.
+    """Dense points of the last seconds and sparse ones of the last minutes.
 
-    A later point than the first after an instant is a valid bound of what
-    was read before it, only a higher one.
+    Any point after an instant is a valid bound of what was read before that
+    instant. Points later than the first one only give a higher bound.
 
     Attributes:
       fine: The points of the last seconds.
@@ -66,20 +71,20 @@
     )
 
     def add(self, instant: float, position: Position) -> None:
-        """Add what the newest probe showed.
+        """Add the position that the newest probe reported.
 
         Args:
-          instant: When the probe was sent.
+          instant: When the probe was sent, in seconds of the monotonic clock.
           position: The position that the server reported.
         """
         self.fine.add(instant, position)
         self.coarse.add(instant, position)
 
     def first_after(self, instant: float) -> Position | None:
-        """Return what the first known probe after an instant showed.
+        """Return the position of the first stored probe after an instant.
 
         Args:
-          instant: When a read ended.
+          instant: When a read ended, in seconds of the monotonic clock.
         """
         points = self.fine if self.fine.covers(instant) else self.coarse
         return points.first_after(instant)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/primary_history.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/primary_history.py
@@ -1,4 +1,4 @@
-"""Upper bounds of a primary's log over the last seconds."""
+"""Upper bounds of the primary's log position over the last seconds."""
 
 import bisect
 
@@ -12,7 +12,7 @@
 
 @attrs.define
 class PrimaryHistory:
-    """Instants and the positions that the primary had not passed by then.
+    """Instants and the log offsets that the primary had not exceeded by then.
 
     Attributes:
       instants: Seconds on the monotonic clock, ascending.
@@ -26,12 +26,13 @@
     def add(self, instant: float, position: Position) -> None:
         """Record that the primary was not above a position at an instant.
 
-        Dropping a point only makes ages look older, so points that come out
-        of order or too close together are left out.
+        Omitting a point can only overestimate ages, so points that are out of
+        order or too close together are ignored.
 
         Args:
-          instant: When the probe or write that showed the position was sent.
-          position: The position that it showed.
+          instant: When the probe or write that reported the position was
+            sent, in seconds of the monotonic clock.
+          position: The reported position.
         """
         if self.instants and instant < self.instants[-1]:
             return
@@ -45,26 +46,32 @@
         del self.instants[:-MAX_POINTS], self.offsets[:-MAX_POINTS]
 
     def is_too_close(self, instant: float) -> bool:
-        """Return whether an instant is too close to the last but one."""
+        """Return whether an instant is too close to the second newest one."""
         if len(self.instants) < 2:
             return False
         return instant - self.instants[-2] < MIN_SPACING_SECONDS
 
     def complete_as_of(self, position: Position) -> float | None:
-        """Return the latest instant whose writes a position surely covers.
+        """Return the latest instant up to which a position covers all writes.
 
         Args:
-          position: How far a replica has applied the log.
+          position: The position up to which a replica has applied the log.
         """
         index = bisect.bisect_right(self.offsets, position.offset) - 1
         return self.instants[index] if index >= 0 else None
 
     def instant_of(self, offset: int, newest: float) -> float | None:
-        """Return about when the primary's log came to an offset.
+        """Estimate when the primary's log reached an offset.
+
+        The instant is interpolated linearly between the two nearest points.
 
         Args:
           offset: A log offset.
-          newest: What to return for an offset above all that is known.
+          newest: The result for an offset above all known ones.
+
+        Returns:
+          Seconds of the monotonic clock, or None if the offset is below all
+          known ones.
         """
         index = bisect.bisect_left(self.offsets, offset)
         if index == len(self.offsets):
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/server_evidence.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/freshness/server_evidence.py
@@ -1,4 +1,4 @@
-"""What probes have shown of one backend server."""
+"""The positions proven by probes of one backend server."""
 
 import attrs
 
@@ -8,13 +8,13 @@
 
 @attrs.define
 class ServerEvidence:
-    """The newest proved position of a server and the ones before it.
+    """The newest proven position of a server and its recent history.
 
     Attributes:
-      position: The position that the newest probe showed.
-      term: The fence term that the newest probe showed.
-      sent_at: When that probe was sent.
-      history: What the probes of the branch's term showed.
+      position: The position that the newest probe reported.
+      term: The fence term that the newest probe reported.
+      sent_at: When that probe was sent, in seconds of the monotonic clock.
+      history: The positions reported by probes in the branch's term.
     """
 
     position: Position
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/limits/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits of single callers, by caller class."""
+"""Rate and concurrency limits of each caller, set by its class."""
 
 from jackdawcrank_policy.limits.caller_limits import CallerLimits
 
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/limits/caller_limits.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/limits/caller_limits.py
@@ -1,4 +1,4 @@
-"""The rate and concurrency of the callers of one class."""
+"""Rate and concurrency limits of the callers of one class."""
 
 import itertools
 import math
@@ -19,12 +19,13 @@
 
 @attrs.define
 class CallerUsage:
-    """What one caller uses.
+    """The current usage of one caller.
 
     Attributes:
-      running: Statements that run or wait.
-      tokens: Statements that it may send at once.
-      filled_at: When `tokens` was last brought up to date.
+      tokens: The tokens in the caller's bucket; each statement takes one.
+      filled_at: When `tokens` was last updated, in seconds of the clock used
+        for `CallerLimits.admit`.
+      running: How many admitted statements have not ended.
     """
 
     tokens: float
@@ -34,16 +35,16 @@
 
 @attrs.define
 class CallerLimits:
-    """Token bucket and concurrency of each caller of a class.
+    """A token bucket and a concurrency limit for each caller of a class.
 
-    A caller is remembered while it has statements running or its bucket is
-    not full, so forgetting one never gives it more. If too many have to be
-    remembered, new ones are refused.
+    A caller may be evicted only if it has no running statements and its
+    bucket is full, so an eviction never grants additional statements. If the
+    table is full and no caller can be evicted, new callers are refused.
 
     Attributes:
-      spec: The class's limits.
-      max_callers: How many callers are remembered.
-      callers: The use of each remembered caller, least recent first.
+      spec: The limits of the class.
+      max_callers: The maximum number of callers in the table.
+      callers: The usage of each caller by name, least recently used first.
     """
 
     spec: CallerClassSpec
@@ -51,40 +52,47 @@
     callers: dict[str, CallerUsage] = attrs.Factory(dict)
 
     def admit(self, caller: str, now: float) -> NotRun | None:
-        """Count a statement of a caller, or refuse it.
+        """Admit a statement of a caller, or refuse it.
 
         Args:
           caller: The caller's name.
-          now: The current time.
+          now: The current time in seconds.
 
         Returns:
-          None if the statement may go on; `finish` has to follow.
+          None if the statement is admitted, in which case `finish` must be
+          called when it ends; otherwise the refusal.
         """
         usage = self.usage(caller, now)
         if usage is None:
-            return self.refuse("too many callers at once", BUSY_RETRY_AFTER_MS)
+            return self.refuse("too many active callers", BUSY_RETRY_AFTER_MS)
         if usage.running >= self.spec.max_concurrent:
             return self.refuse(
-                "too many statements at once", BUSY_RETRY_AFTER_MS
+                "too many concurrent statements", BUSY_RETRY_AFTER_MS
             )
         if self.spec.rate_per_second and usage.tokens < 1:
             wait = (1 - usage.tokens) / self.spec.rate_per_second
-            return self.refuse("too many statements", math.ceil(wait * 1000))
+            return self.refuse(
+                "statement rate limit exceeded", math.ceil(wait * 1000)
+            )
         usage.tokens -= 1
         usage.running += 1
         return None
 
     def finish(self, caller: str) -> None:
-        """Count the end of a statement that was let through."""
+        """Record that an admitted statement ended."""
         self.callers[caller].running -= 1
 
     def refuse(self, detail: str, after_ms: int) -> NotRun:
-        """Return a refusal with the time to come back."""
+        """Return a refusal with the delay after which to retry."""
         after_ms = max(MIN_RETRY_AFTER_MS, after_ms)
         return NotRun(NotRunReason.LIMITED, detail, after_ms)
 
     def usage(self, caller: str, now: float) -> CallerUsage | None:
-        """Return a caller's use, brought up to date and made most recent."""
+        """Refill a caller's bucket and mark it as most recently used.
+
+        Returns:
+          The caller's usage, or None if the table is full.
+        """
         usage = self.callers.pop(caller, None)
         if usage is None:
             if not self.ensure_capacity(now):
@@ -95,7 +103,7 @@
         return usage
 
     def refill(self, usage: CallerUsage, now: float) -> None:
-        """Add the tokens that have come in since the last time."""
+        """Add the tokens that accrued since the last refill."""
         added = (now - usage.filled_at) * self.spec.rate_per_second
         if not self.spec.rate_per_second:
             added = self.spec.burst
@@ -103,7 +111,14 @@
         usage.filled_at = now
 
     def ensure_capacity(self, now: float) -> bool:
-        """Forget one of the least recent callers; return if one more fits."""
+        """Evict an idle caller if the table is full.
+
+        Only the MAX_CALLERS_EXAMINED least recently used callers are
+        considered, which bounds the time of an admission.
+
+        Returns:
+          Whether the table has room for another caller.
+        """
         if len(self.callers) < self.max_callers:
             return True
         least_recent = itertools.islice(
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/__init__.py
@@ -1,4 +1,4 @@
-"""Which statements may be sent again, how often and when."""
+"""Rules for retries: which statements, how many and after what delay."""
 
 from jackdawcrank_policy.retry.backoff import backoff_seconds
 from jackdawcrank_policy.retry.may_retry import StatementKind, may_retry
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/backoff.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/backoff.py
@@ -1,4 +1,4 @@
-"""Delays between attempts."""
+"""Delays between retry attempts."""
 
 import random
 
@@ -12,13 +12,13 @@
     base: float = BASE_SECONDS,
     cap: float = CAP_SECONDS,
 ) -> float:
-    """Return an exponential delay with full jitter.
+    """Return an exponential backoff delay in seconds, with full jitter.
 
     Args:
-      attempt: How many attempts were made before, from 0.
+      attempt: The number of earlier attempts, starting at 0.
       rng: The source of the jitter.
-      base: The longest first delay in seconds.
-      cap: The longest delay of any attempt in seconds.
+      base: The upper limit of the first delay in seconds.
+      cap: The upper limit of every delay in seconds.
     """
     longest = min(cap, base * 2.0 ** min(attempt, 32))
     return rng.uniform(0.0, longest)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/may_retry.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/may_retry.py
@@ -1,4 +1,4 @@
-"""Whether a statement may be sent a second time."""
+"""The rule for whether a statement may be retried."""
 
 import enum
 import functools
@@ -19,7 +19,7 @@
     WRITE = "write"
 
 
-# Reasons that another server or a moment's wait may cure.
+# Reasons for which a retry on another server or after a delay may succeed.
 TRANSIENT_REASONS = frozenset(
     {
         NotRunReason.NO_PRIMARY,
@@ -29,20 +29,21 @@
         NotRunReason.SHUTTING_DOWN,
     }
 )
-# Lock wait timeout and deadlock.
+# ER_LOCK_WAIT_TIMEOUT and ER_LOCK_DEADLOCK.
 TRANSIENT_ERROR_CODES = frozenset({1205, 1213})
 
 
 @functools.singledispatch
 def may_retry(outcome: Outcome, kind: StatementKind, repeatable: bool) -> bool:
-    """Return whether a statement outside a transaction may be sent again.
+    """Return whether a statement outside a transaction may be retried.
 
-    A statement that certainly did not run may be, whatever it is. One that
-    ran or may have run may be only if it is a read. A refusal for overload
-    is never retried here: it goes to the caller with the time to come back.
+    A statement that is known not to have run may be retried, whether it is a
+    read or a write. A statement that ran or may have run may be retried only
+    if it is a repeatable read. A refusal because of overload is never retried
+    here; it is returned to the caller with its retry delay.
 
     Args:
-      outcome: What became of the attempt.
+      outcome: The outcome of the attempt.
       kind: Whether the statement can change data.
       repeatable: Whether the caller allows the statement to run twice.
     """
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/retry_budget.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/retry_budget.py
@@ -1,4 +1,4 @@
-"""A bound on retries that keeps them from multiplying load."""
+"""A budget that keeps retries from amplifying an overload."""
 
 import attrs
 
@@ -8,12 +8,13 @@
 
 @attrs.define
 class RetryBudget:
-    """Retries as at most a fraction of first attempts.
+    """A budget that limits retries to a fraction of first attempts.
 
     Attributes:
-      fraction: Retries that each first attempt allows.
-      max_balance: The most retries that can be saved up.
-      balance: The retries saved up.
+      fraction: The number of retries that each first attempt adds to the
+        balance.
+      max_balance: The maximum balance.
+      balance: The accumulated retries; each retry withdraws 1.
     """
 
     fraction: float = RETRY_FRACTION
@@ -21,11 +22,11 @@
     balance: float = 0.0
 
     def record_attempt(self) -> None:
-        """Count a first attempt."""
+        """Record a first attempt, which adds to the balance."""
         self.balance = min(self.max_balance, self.balance + self.fraction)
 
     def try_withdraw(self) -> bool:
-        """Take one retry; return whether there was one."""
+        """Withdraw one retry and return whether the balance allowed it."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of the backend server for a read."""
+"""Selection of the backend server for a read."""
 
 from jackdawcrank_policy.routing.answered_read import AnsweredRead
 from jackdawcrank_policy.routing.candidate import Candidate
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/candidate.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/candidate.py
@@ -1,4 +1,4 @@
-"""One backend server as a choice for a read."""
+"""A backend server that may be selected for a read."""
 
 import attrs
 
@@ -7,18 +7,22 @@
 
 @attrs.frozen
 class Candidate:
-    """What is known of a server at the moment of a choice.
+    """What is known of a server when a read is routed.
 
     Attributes:
       server: The server's name.
       primary: Whether it is the primary of the open term.
       state: Whether it is joining, serving or leaving.
-      position: The proved position on the branch, if any.
-      complete_as_of: The instant up to which it holds every write, if known.
-      replication_lag: Seconds that it was behind what is known of the primary.
-      catch_up_seconds: Seconds until it should reach the token, if known.
-      expected_response_time: Seconds that an answer should take, with network and queue.
-      failing: Whether its recent errors rule it out.
+      position: The proven position on the branch, if any.
+      complete_as_of: The instant up to which it holds every write, in seconds
+        of the monotonic clock, if known.
+      replication_lag: Seconds by which it trailed the known position of the
+        primary, if known.
+      catch_up_seconds: Estimated seconds until it reaches the position that
+        the read requires, if known.
+      expected_response_time: Estimated seconds until an answer, including
+        network and queue.
+      failing: Whether its recent error rate excludes it.
     """
 
     server: str
@@ -32,14 +36,14 @@
     failing: bool = False
 
     def usable(self) -> bool:
-        """Return whether the server may get new work at all."""
+        """Return whether the server may receive new statements."""
         return self.state is ServerState.SERVING and not self.failing
 
     def reached(self, position: Position | None, branch: Branch) -> bool:
-        """Return whether the server is proved to hold an entry.
+        """Return whether the server is proven to hold an entry.
 
         Args:
-          position: The entry's position; None asks for nothing.
+          position: The entry's position; None imposes no requirement.
           branch: The group's branch.
         """
         if position is None:
@@ -51,11 +55,13 @@
         )
 
     def fresh_enough(self, max_age_ms: int | None, now: float) -> bool:
-        """Return whether an answer should still be within a stated age.
+        """Return whether an answer is expected to be within a maximum age.
+
+        The data's age is counted up to the expected time of the answer.
 
         Args:
-          max_age_ms: The stated age in milliseconds; None asks for nothing.
-          now: The current time.
+          max_age_ms: The maximum age in milliseconds; None imposes no limit.
+          now: The current time in seconds of the monotonic clock.
         """
         if max_age_ms is None:
             return True
@@ -65,10 +71,10 @@
         return age <= max_age_ms / 1000
 
     def may_prove_fresh(self, max_age_ms: int | None) -> bool:
-        """Return whether new probes might prove it to be within an age.
+        """Return whether new probes could prove data within a maximum age.
 
         Args:
-          max_age_ms: The stated age in milliseconds, if any.
+          max_age_ms: The maximum age in milliseconds, if any.
         """
         if max_age_ms is None:
             return False
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/choices.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/choices.py
@@ -1,4 +1,4 @@
-"""What to do with a read."""
+"""The possible decisions on a read."""
 
 import attrs
 
@@ -11,20 +11,21 @@
 
     Attributes:
       server: The replica's name.
-      complete_as_of: The instant up to which the replica surely holds every
-        write, if known. An answer that comes later than the stated age after
-        it has to be dropped.
+      complete_as_of: The instant up to which the replica is proven to hold
+        every write, in seconds of the monotonic clock, if known. An answer
+        that arrives more than the maximum age after it must be discarded.
     """
 
     server: str
     complete_as_of: float | None = None
 
     def fresh_at(self, answered_at: float, max_age_ms: int | None) -> bool:
-        """Return whether an answer is within the stated age.
+        """Return whether an answer is within the maximum age.
 
         Args:
-          answered_at: When the answer came.
-          max_age_ms: The stated age in milliseconds, if any.
+          answered_at: When the answer arrived, in seconds of the monotonic
+            clock.
+          max_age_ms: The maximum age in milliseconds, if any.
         """
         if max_age_ms is None:
             return True
@@ -35,14 +36,15 @@
 
 @attrs.frozen
 class WaitForReplica:
-    """Wait for a replica, then choose again with `may_wait` off.
+    """Wait for a replica, then route again with `may_wait` set to False.
 
     Attributes:
       server: The replica's name.
-      until: When to choose again without further waiting.
-      probe: Whether to probe the replica and the primary and wait for both
-        answers; if not, to wait until the replica reaches the request's
-        target.
+      until: When the wait ends at the latest, in seconds of the monotonic
+        clock.
+      probe: True to probe the replica and the primary and wait for both
+        answers; False to wait until the replica reaches the request's target
+        position.
     """
 
     server: str
@@ -57,10 +59,10 @@
 
 @attrs.frozen
 class Refuse:
-    """Answer that the read did not run.
+    """Refuse the read without running it.
 
     Attributes:
-      outcome: The answer.
+      outcome: The outcome to return to the caller.
     """
 
     outcome: NotRun
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/choose_read.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/choose_read.py
@@ -1,4 +1,4 @@
-"""The rule that sends a read to a server."""
+"""The rule that routes a read to a server."""
 
 import random
 from collections.abc import Sequence
@@ -27,14 +27,14 @@
     now: float,
     rng: random.Random,
 ) -> ReadChoice:
-    """Return what to do with a read.
+    """Return the routing decision for a read.
 
     Args:
-      request: What the read asks for.
+      request: The read's consistency requirements.
       candidates: The group's servers.
       branch: The group's branch.
-      now: The current time.
-      rng: Breaks near ties between replicas.
+      now: The current time in seconds of the monotonic clock.
+      rng: The source of randomness that breaks near ties.
     """
     refusal = refuse_lost_position(request, branch)
     if refusal is not None:
@@ -53,7 +53,7 @@
 
 
 def refuse_lost_position(request: ReadRequest, branch: Branch) -> Refuse | None:
-    """Return the refusal of a read that no server can answer truly."""
+    """Return a refusal if no server can answer the read consistently."""
     if request.constraint is not None and request.constraint.lost:
         return write_lost_refusal(
             "the session may have read entries that were lost"
@@ -69,29 +69,29 @@
 
 
 def write_lost_refusal(detail: str) -> Refuse:
-    """Return the refusal that says a write was lost."""
+    """Return a refusal for a session that depends on a lost write."""
     return Refuse(NotRun(NotRunReason.WRITE_LOST, detail))
 
 
 def stale_token_refusal(position: Position) -> Refuse:
-    """Return the refusal of a token whose term is not known here yet."""
-    detail = f"term {position.term} is not known here yet"
+    """Return a refusal for a token whose term this proxy does not know."""
+    detail = f"term {position.term} is not yet known to this proxy"
     return Refuse(
         NotRun(NotRunReason.STALE_TOKEN, detail, TERM_CHANGE_RETRY_AFTER_MS)
     )
 
 
 def find_primary(candidates: Sequence[Candidate]) -> Candidate | None:
-    """Return the primary, if it may get work."""
+    """Return the primary if it may receive new statements."""
     found = (c for c in candidates if c.primary and c.usable())
     return next(found, None)
 
 
 def route_to_primary(primary: Candidate | None) -> ReadChoice:
-    """Return the choice of the primary, or a refusal if there is none."""
+    """Route to the primary, or refuse the read if there is none."""
     if primary is not None:
         return RouteToPrimary()
-    detail = "no primary is known that may get work"
+    detail = "no primary that accepts new statements is known"
     return Refuse(
         NotRun(NotRunReason.NO_PRIMARY, detail, TERM_CHANGE_RETRY_AFTER_MS)
     )
@@ -100,7 +100,7 @@
 def satisfies_bounds(
     candidate: Candidate, request: ReadRequest, branch: Branch
 ) -> bool:
-    """Return whether a replica covers all that the session has seen."""
+    """Return whether a replica covers everything the session has read."""
     if request.pinned_elsewhere(candidate.server):
         return False
     constraint = request.constraint
@@ -112,10 +112,11 @@
 def pick_fastest(
     ready: Sequence[Candidate], request: ReadRequest, rng: random.Random
 ) -> RouteToReplica:
-    """Return the replica that should answer first.
+    """Route to the replica with the shortest expected response time.
 
-    The session's last replica is kept unless another is clearly faster, and
-    near ties are broken at random so that proxies don't move in step.
+    The session stays on its last replica unless another one is clearly
+    faster. Other near ties are broken at random so that proxies do not all
+    switch to the same replica at once.
     """
     fastest = min(candidate.expected_response_time for candidate in ready)
     near = [
@@ -133,10 +134,11 @@
     primary: Candidate | None,
     now: float,
 ) -> ReadChoice:
-    """Return a wait for new probes where they may help, else the primary.
+    """Wait for new probes if they may help, else route to the primary.
 
-    A read within a stated age would make the session see the primary's
-    newest data, behind which it could not go back for as long as the lag.
+    A read with a maximum age that runs on the primary returns the newest
+    data. Monotonic reads would then exclude every replica from the session
+    until it has caught up, which takes as long as the replication lag.
     """
     until = now + PROBE_WAIT_SECONDS
     probe_targets = [
@@ -157,7 +159,12 @@
     primary: Candidate | None,
     now: float,
 ) -> ReadChoice:
-    """Return a wait that beats the primary, else the primary."""
+    """Wait for a replica if that is fast enough, else use the primary.
+
+    A wait is fast enough if the answer is expected before the deadline and,
+    where there is a primary, at most `replica_wait_seconds` later than the
+    primary's answer.
+    """
     catching_up = [c for c in fresh if may_wait_for(c, request)]
     if not catching_up:
         return route_to_primary(primary)
@@ -176,14 +183,14 @@
 
 
 def may_wait_for(candidate: Candidate, request: ReadRequest) -> bool:
-    """Return whether a replica should reach the session's target."""
+    """Return whether a replica is expected to reach the target position."""
     if not request.may_wait or request.pinned_elsewhere(candidate.server):
         return False
     return candidate.catch_up_seconds is not None
 
 
 def total_response_time(candidate: Candidate) -> float:
-    """Return the seconds to an answer with the wait for the token."""
+    """Return the expected seconds to an answer, including catch-up."""
     return (
         candidate.catch_up_seconds or 0.0
     ) + candidate.expected_response_time
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_constraint.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_constraint.py
@@ -1,4 +1,4 @@
-"""What a session's last read on a group asks of its next."""
+"""The constraint that a session's last read puts on its next read."""
 
 import attrs
 
@@ -7,11 +7,12 @@
 
 @attrs.frozen
 class ReadConstraint:
-    """The server of the last read and what that read may have seen.
+    """The server of a group's last read and a bound of what it returned.
 
     Attributes:
-      server: The server that answered it.
-      bound: A position at or above what it saw; None while not known.
+      server: The server that answered the read.
+      bound: A position at or above every entry that the read returned; None
+        while it is unknown.
       lost: Whether the term changed before a bound was known.
     """
 
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_request.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_request.py
@@ -1,4 +1,4 @@
-"""A read that needs a server."""
+"""A read to be routed."""
 
 import attrs
 
@@ -10,18 +10,18 @@
 
 @attrs.frozen
 class ReadRequest:
-    """What a read asks for.
+    """The consistency requirements of a read.
 
     Attributes:
       group: The database group.
-      deadline: When the caller gives up, on the monotonic clock.
-      token_position: The position that the session has seen, if any.
-      max_age_ms: The stated age in milliseconds, the group's default applied
-        already; None if neither states one.
-      constraint: What the session's last read asks, if there was one.
-      may_wait: Whether the read may wait for a replica; False once it has.
-      replica_wait_seconds: The seconds that the read may take longer than on the
-        primary in order to spare it.
+      deadline: The caller's deadline in seconds of the monotonic clock.
+      token_position: The position in the session token, if any.
+      max_age_ms: The maximum age in milliseconds, with the group's default
+        already applied; None if neither the caller nor the group sets one.
+      constraint: The constraint set by the session's last read, if any.
+      may_wait: Whether the read may wait for a replica; False after a wait.
+      replica_wait_seconds: How many seconds longer than on the primary the
+        read may take in order to offload the primary.
     """
 
     group: str
@@ -33,7 +33,7 @@
     replica_wait_seconds: float = DEFAULT_REPLICA_WAIT_SECONDS
 
     def bounds(self) -> list[Position]:
-        """Return the positions that an answer has to cover."""
+        """Return the positions that an answer must cover."""
         hold_bound = self.constraint.bound if self.constraint else None
         both = (self.token_position, hold_bound)
         return [position for position in both if position is not None]
@@ -43,7 +43,7 @@
         return max(self.bounds(), key=lambda p: p.offset, default=None)
 
     def bound_off_branch(self, branch: Branch) -> Position | None:
-        """Return a bound that is not on the branch, if there is one.
+        """Return a required position that is not on the branch, if any.
 
         Args:
           branch: The group's branch.
@@ -52,7 +52,10 @@
         return next(off_branch, None)
 
     def pinned_elsewhere(self, server: str) -> bool:
-        """Return whether the last read rules a replica out for now.
+        """Return whether the session is pinned to a different server.
+
+        A session is pinned to the server of its last read until the position
+        of that read is bounded.
 
         Args:
           server: The replica's name.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/routing_table.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/routing_table.py
@@ -1,4 +1,4 @@
-"""What one proxy weighs when it sends a group's reads."""
+"""The state from which one proxy routes a group's reads."""
 
 import random
 from collections.abc import Iterable, Mapping
@@ -19,7 +19,7 @@
     """The servers of one group, with their evidence and load.
 
     Attributes:
-      evidence: What is proved of the servers.
+      evidence: What is proven about the servers' positions.
       primary: The name of the open term's primary; empty if there is none.
       specs: The declared servers by name.
       loads: The load of each server by name.
@@ -36,12 +36,14 @@
         slots: int,
         latencies: Mapping[str, float],
     ) -> None:
-        """Take over the declared servers; keep the load of known ones.
+        """Replace the declared servers and keep the load of known ones.
 
         Args:
           specs: The group's servers.
-          slots: Statements that one server runs at once for this proxy.
-          latencies: Seconds of a round trip to each server, by name.
+          slots: How many statements one server runs concurrently for this
+            proxy.
+          latencies: The network round-trip time to each server in seconds, by
+            name.
         """
         self.specs = {spec.name: spec for spec in specs}
         for name in [*self.evidence.servers]:
@@ -56,13 +58,13 @@
             load.latency = latencies.get(name, 0.0)
 
     def candidates(self, request: ReadRequest, now: float) -> list[Candidate]:
-        """Return the group's servers as choices for a read."""
+        """Return the group's servers as candidates for a read."""
         return [self.candidate(name, request, now) for name in self.specs]
 
     def candidate(
         self, name: str, request: ReadRequest, now: float
     ) -> Candidate:
-        """Return one server as a choice for a read."""
+        """Return one server as a candidate for a read."""
         load = self.loads[name]
         evidence = self.evidence
         return Candidate(
@@ -80,7 +82,7 @@
     def catch_up_seconds(
         self, name: str, request: ReadRequest, now: float
     ) -> float | None:
-        """Return the seconds until a server should reach the target."""
+        """Estimate the seconds until a server reaches the target position."""
         target = request.target()
         if target is None:
             return None
@@ -89,12 +91,12 @@
     def choose(
         self, request: ReadRequest, now: float, rng: random.Random
     ) -> ReadChoice:
-        """Return what to do with a read.
+        """Return the routing decision for a read.
 
         Args:
-          request: What the read asks for.
-          now: The current time.
-          rng: Breaks near ties between replicas.
+          request: The read's consistency requirements.
+          now: The current time in seconds of the monotonic clock.
+          rng: The source of randomness that breaks near ties.
         """
         candidates = self.candidates(request, now)
         return choose_read(request, candidates, self.evidence.branch, now, rng)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/server_load.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/server_load.py
@@ -1,4 +1,4 @@
-"""The load and health of a backend server as one proxy sees them."""
+"""The load and health of a backend server as measured by one proxy."""
 
 import math
 
@@ -7,21 +7,24 @@
 SERVICE_WEIGHT = 0.1
 FIRST_SERVICE_SECONDS = 0.005
 ERROR_HALF_LIFE_SECONDS = 5.0
-# Errors, decayed by age, from which a server gets no reads.
+# A server with at least this decayed error score receives no reads.
 FAILING_SCORE = 3.0
 
 
 @attrs.define
 class ServerLoad:
-    """Running statements, time of service and recent errors of a server.
+    """Running statements, service time and recent errors of a server.
 
     Attributes:
-      slots: Statements that the server runs at once for this proxy.
-      latency: Seconds of a network round trip to the server.
-      in_flight: Statements that this proxy has on the server.
-      service_time: Seconds of one statement without the network, smoothed.
-      error_score: Recent errors, halved every few seconds.
-      score_updated_at: When the score was last brought up to date.
+      slots: How many statements the server runs concurrently for this proxy.
+      latency: The network round-trip time to the server in seconds.
+      in_flight: How many statements this proxy has in flight on the server.
+      service_time: The exponentially smoothed seconds that one statement
+        takes on the server, without the network.
+      error_score: The number of errors, decayed exponentially with a
+        half-life of ERROR_HALF_LIFE_SECONDS.
+      score_updated_at: When `error_score` was last updated, in seconds of the
+        monotonic clock.
     """
 
     slots: int = 1
@@ -32,16 +35,18 @@
     score_updated_at: float = 0.0
 
     def start(self) -> None:
-        """Count a statement that was sent."""
+        """Record that a statement was sent."""
         self.in_flight += 1
 
     def finish(self, seconds: float, failed: bool, now: float) -> None:
-        """Count a statement that ended.
+        """Record that a statement ended.
+
+        A failed statement does not change the smoothed service time.
 
         Args:
-          seconds: How long it took, network included.
-          failed: Whether the server or the way to it failed.
-          now: The current time.
+          seconds: How long the statement took, including the network.
+          failed: Whether the server or the connection to it failed.
+          now: The current time in seconds of the monotonic clock.
         """
         self.in_flight -= 1
         self.error_score = self.decayed_error_score(now) + failed
@@ -53,18 +58,18 @@
             )
 
     def decayed_error_score(self, now: float) -> float:
-        """Return the score of recent errors at a time."""
+        """Return the error score decayed to a point in time."""
         elapsed = now - self.score_updated_at
         return self.error_score * math.pow(
             0.5, elapsed / ERROR_HALF_LIFE_SECONDS
         )
 
     def failing(self, now: float) -> bool:
-        """Return whether recent errors rule the server out."""
+        """Return whether recent errors exclude the server."""
         return self.decayed_error_score(now) >= FAILING_SCORE
 
     def expected_response_time(self, now: float) -> float:
-        """Return the seconds that one more statement should take."""
+        """Estimate the seconds until one more statement is answered."""
         queued = max(0, self.in_flight + 1 - self.slots)
         queue = self.service_time * queued / max(1, self.slots)
         return self.latency + (self.service_time + queue) * (
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/session_reads.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/session_reads.py
@@ -1,4 +1,4 @@
-"""Monotonic reads for the sessions of one proxy."""
+"""Monotonic reads for the sessions of a proxy."""
 
 import attrs
 
@@ -11,10 +11,11 @@
 class SessionReads:
     """The last read of one session on each group.
 
-    Only the last read counts: it was at or above the ones before it.
+    The last read is enough, because its position was at or above the
+    positions of all earlier reads.
 
     Attributes:
-      by_group: The mark of the last read on each group.
+      by_group: The last read on each group, by the group's name.
     """
 
     by_group: dict[str, AnsweredRead] = attrs.Factory(dict)
@@ -32,8 +33,9 @@
         Args:
           group: The group's name.
           server: The server that answered.
-          ended_at: When the answer came, on the observer's clock.
-          term: The term under which the server was chosen.
+          ended_at: When the answer arrived, in seconds of the observer's
+            monotonic clock.
+          term: The term under which the server was selected.
           observer: The proxy process that ran the read.
         """
         self.by_group[group] = AnsweredRead(server, ended_at, term, observer)
@@ -45,13 +47,16 @@
         observer: str = "",
         now: float = 0.0,
     ) -> ReadConstraint | None:
-        """Return what the session's last read on a group asks of its next.
+        """Return the constraint on the session's next read on a group.
 
         Args:
           group: The group's name.
-          evidence: The group's evidence on the observer.
-          observer: The proxy process that chooses the server.
-          now: Its current time.
+          evidence: The group's evidence, collected by the observer.
+          observer: The proxy process that routes the read.
+          now: Its current time in seconds of its monotonic clock.
+
+        Returns:
+          None if the session has not read from the group.
         """
         read = self.by_group.get(group)
         if read is None:
@@ -62,5 +67,5 @@
         return judged.constraint(evidence.branch.term)
 
     def forget(self, group: str) -> None:
-        """Drop a group, after its bound went into the token or was lost."""
+        """Remove a group whose bound was lost or moved into the token."""
         self.by_group.pop(group, None)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/watermarks/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/watermarks/__init__.py
@@ -1,4 +1,4 @@
-"""Freshness proved by positions of the primary."""
+"""Watermarks that prove how fresh a replica's data is."""
 
 from jackdawcrank_policy.watermarks.watermark_history import (
     Watermark,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/watermarks/watermark_history.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/watermarks/watermark_history.py
@@ -6,10 +6,10 @@
 
 from jackdawcrank_policy.values.position import Position
 
-# Answers closer together than this replace each other: reads need a floor of
-# about a second's age, so finer steps would only cost memory.
+# Watermarks closer together than this are not recorded. Reads require ages of
+# about a second, so a finer spacing would only cost memory.
 MIN_STEP_SECONDS = 0.05
-# Twice the greatest age that our users declare (2.5 s).
+# Twice the greatest maximum age that our users configure (2.5 s).
 KEEP_SECONDS = 5.0
 
 
@@ -18,8 +18,8 @@
     """A position that holds every commit acknowledged before an instant.
 
     Attributes:
-      asked_at: When the question was sent that the primary answered; seconds
-        on a clock that goes on while the machine is suspended.
+      asked_at: When the request that the primary answered was sent, in
+        seconds of a clock that keeps running while the machine is suspended.
       position: The log position in the primary's answer.
     """
 
@@ -29,23 +29,27 @@
 
 @attrs.define
 class WatermarkHistory:
-    """The floors of one group, learned from its primary's answers.
+    """The watermarks of one group, taken from its primary's answers.
 
-    A commit acknowledged before a question was sent is at or below the
-    position in the answer, provided that the server led when it answered. So
-    a server that has the position lacks no commit older than the question.
+    Every commit acknowledged before a request was sent is at or below the
+    position in the answer, provided that the server was the primary when it
+    answered. A replica that has reached this position therefore lacks no
+    commit older than the request.
 
     Attributes:
-      watermarks: The floors in the order of their questions.
+      watermarks: The watermarks in the order of their requests.
     """
 
     watermarks: collections.deque[Watermark] = attrs.Factory(collections.deque)
 
     def add(self, asked_at: float, position: Position) -> None:
-        """Take in an answer of a server that is proved to have led.
+        """Add the answer of a server that is proven to have been the primary.
+
+        Answers that are out of order, have a lower position or come too soon
+        after the newest watermark are ignored.
 
         Args:
-          asked_at: When the question was sent.
+          asked_at: When the request was sent, in seconds.
           position: The position in the answer.
         """
         newest = self.newest()
@@ -59,17 +63,18 @@
             self.watermarks.popleft()
 
     def newest(self) -> Watermark | None:
-        """Return the floor of the latest question, or None."""
+        """Return the watermark of the latest request, or None."""
         return self.watermarks[-1] if self.watermarks else None
 
     def oldest_within(self, now: float, max_age: float) -> Watermark | None:
-        """Return the oldest floor that still proves an age, or None.
+        """Return the oldest watermark within a maximum age, or None.
 
-        The oldest one is best: replicas have had the most time to reach it.
+        The oldest one is preferred because replicas have had the most time to
+        reach it.
 
         Args:
-          now: The current time, on the clock of `add`.
-          max_age: The greatest age in seconds.
+          now: The current time in seconds, on the clock used for `add`.
+          max_age: The maximum age in seconds.
         """
         for watermark in self.watermarks:
             if now - watermark.asked_at <= max_age:
