--- a/packages/jackdawcrank-policy/tests/routing/test_choose_read.py
+++ b/packages/jackdawcrank-policy/tests/routing/test_choose_read.py
@@ -27,21 +27,21 @@
 BRANCH = Branch((TermStart(1, 0), TermStart(2, 50)))
 NOW = 100.0
 PRIMARY = Candidate("a", primary=True, position=Position(2, 80))
-BEHIND = Candidate(
+LAGGING_REPLICA = Candidate(
     "b",
     position=Position(2, 60),
     complete_as_of=97.0,
     replication_lag=3.0,
     expected_response_time=0.01,
 )
-CLOSE = Candidate(
+RECENT_REPLICA = Candidate(
     "c",
     position=Position(2, 79),
     complete_as_of=99.5,
     replication_lag=0.5,
     expected_response_time=0.01,
 )
-SERVERS = (PRIMARY, BEHIND, CLOSE)
+SERVERS = (PRIMARY, LAGGING_REPLICA, RECENT_REPLICA)
 
 
 def choose(
@@ -99,7 +99,7 @@
 def test_unusable_replica_gets_no_reads(
     changes: dict[str, object],
 ) -> None:
-    changed = attrs.evolve(CLOSE, **changes)
+    changed = attrs.evolve(RECENT_REPLICA, **changes)
     assert choose((PRIMARY, changed), token="2:70") == RouteToPrimary()
 
 
@@ -120,7 +120,7 @@
     assert choose(
         max_age_ms=9000, constraint=ReadConstraint("b")
     ) == RouteToReplica("b", 97.0)
-    without_b = (PRIMARY, CLOSE)
+    without_b = (PRIMARY, RECENT_REPLICA)
     assert (
         choose(without_b, max_age_ms=9000, constraint=ReadConstraint("b"))
         == RouteToPrimary()
@@ -140,21 +140,21 @@
 
 
 def test_read_waits_for_replica_only_if_faster_than_primary() -> None:
-    short_wait = attrs.evolve(CLOSE, catch_up_seconds=0.03)
-    long_wait = attrs.evolve(CLOSE, catch_up_seconds=0.5)
+    short_wait = attrs.evolve(RECENT_REPLICA, catch_up_seconds=0.03)
+    long_wait = attrs.evolve(RECENT_REPLICA, catch_up_seconds=0.5)
     busy = attrs.evolve(PRIMARY, expected_response_time=1.0)
     choice = choose((PRIMARY, short_wait), token="2:80")
     assert isinstance(choice, WaitForReplica)
     assert NOW + 0.03 <= choice.until < NOW + 0.1
     assert choose((PRIMARY, long_wait), token="2:80") == RouteToPrimary()
     assert isinstance(choose((busy, long_wait), token="2:80"), WaitForReplica)
-    beyond_deadline = attrs.evolve(CLOSE, catch_up_seconds=5.0)
+    beyond_deadline = attrs.evolve(RECENT_REPLICA, catch_up_seconds=5.0)
     assert choose((busy, beyond_deadline), token="2:80") == RouteToPrimary()
 
 
 def test_read_waits_for_probes_that_may_prove_its_max_age() -> None:
     unknown = Candidate("b")
-    caught_up = attrs.evolve(CLOSE, replication_lag=0.0)
+    caught_up = attrs.evolve(RECENT_REPLICA, replication_lag=0.0)
     for candidate in (unknown, caught_up):
         choice = choose((PRIMARY, candidate), max_age_ms=400)
         assert isinstance(choice, WaitForReplica)
@@ -172,14 +172,16 @@
 
 def test_fastest_replica_wins_and_near_ties_keep_last_replica() -> None:
     busy = attrs.evolve(
-        BEHIND, position=Position(2, 79), expected_response_time=0.03
-    )
-    assert choose((PRIMARY, busy, CLOSE), token="2:79") == RouteToReplica(
-        "c", 99.5
+        LAGGING_REPLICA, position=Position(2, 79), expected_response_time=0.03
     )
+    assert choose(
+        (PRIMARY, busy, RECENT_REPLICA), token="2:79"
+    ) == RouteToReplica("c", 99.5)
     near = attrs.evolve(busy, expected_response_time=0.0105)
     constraint = ReadConstraint("b", Position(2, 79))
-    choice = choose((PRIMARY, near, CLOSE), token="2:79", constraint=constraint)
+    choice = choose(
+        (PRIMARY, near, RECENT_REPLICA), token="2:79", constraint=constraint
+    )
     assert choice == RouteToReplica("b", 97.0)
 
 
