--- a/packages/jackdawcrank-policy/tests/freshness/test_evidence.py
+++ b/packages/jackdawcrank-policy/tests/freshness/test_evidence.py
@@ -1,4 +1,4 @@
-"""Tests of what probes prove."""
+"""Tests of the evidence that probes provide."""
 
 import pytest
 
--- a/packages/jackdawcrank-policy/tests/freshness/test_position_history.py
+++ b/packages/jackdawcrank-policy/tests/freshness/test_position_history.py
@@ -1,4 +1,4 @@
-"""Tests of what is remembered of a server's positions."""
+"""Tests of the position history of a server."""
 
 import hypothesis
 import hypothesis.strategies as st
--- a/packages/jackdawcrank-policy/tests/limits/test_caller_limits.py
+++ b/packages/jackdawcrank-policy/tests/limits/test_caller_limits.py
@@ -1,4 +1,4 @@
-"""Tests of the limits of single callers."""
+"""Tests of the rate and concurrency limits of callers."""
 
 import pytest
 
--- a/packages/jackdawcrank-policy/tests/retry/test_may_retry.py
+++ b/packages/jackdawcrank-policy/tests/retry/test_may_retry.py
@@ -1,4 +1,4 @@
-"""Tests of which statements are sent again."""
+"""Tests of the retry rule."""
 
 import pytest
 
--- a/packages/jackdawcrank-policy/tests/retry/test_retry_budget.py
+++ b/packages/jackdawcrank-policy/tests/retry/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on retries and of their delays."""
+"""Tests of the retry budget and the backoff delays."""
 
 import random
 
--- a/packages/jackdawcrank-policy/tests/routing/test_choose_read.py
+++ b/packages/jackdawcrank-policy/tests/routing/test_choose_read.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a server for a read."""
+"""Tests of read routing."""
 
 import random
 
--- a/packages/jackdawcrank-policy/tests/routing/test_routing_table.py
+++ b/packages/jackdawcrank-policy/tests/routing/test_routing_table.py
@@ -1,4 +1,4 @@
-"""Tests of what a proxy weighs for a group."""
+"""Tests of the routing table."""
 
 import random
 
--- a/packages/jackdawcrank-policy/tests/routing/test_session_guarantees.py
+++ b/packages/jackdawcrank-policy/tests/routing/test_session_guarantees.py
@@ -1,4 +1,4 @@
-"""Random walks over a small group that check what sessions are promised."""
+"""Random walks over a small group that check the session guarantees."""
 
 import itertools
 import random
