--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_request.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/read_request.py
@@ -34,8 +34,8 @@
 
     def bounds(self) -> list[Position]:
         """Return the positions that an answer must cover."""
-        hold_bound = self.constraint.bound if self.constraint else None
-        both = (self.token_position, hold_bound)
+        last_read_bound = self.constraint.bound if self.constraint else None
+        both = (self.token_position, last_read_bound)
         return [position for position in both if position is not None]
 
     def target(self) -> Position | None:
