--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/floors/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/floors/__init__.py
@@ -1,5 +1,8 @@
-"""Freshness proved by positions of the primary."""
+"""Watermarks that prove how fresh a replica's data is."""
 
-from jackdawcrank_policy.floors.floor_history import Floor, FloorHistory
+from jackdawcrank_policy.floors.floor_history import (
+    Watermark,
+    WatermarkHistory,
+)
 
-__all__ = ["Floor", "FloorHistory"]
+__all__ = ["Watermark", "WatermarkHistory"]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/limits/caller_limits.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/limits/caller_limits.py
@@ -1,4 +1,4 @@
-"""The rate and concurrency of the callers of one class."""
+"""Rate and concurrency limits of the callers of one class."""
 
 import itertools
 import math
@@ -18,13 +18,14 @@
 
 
 @attrs.define
-class CallerUse:
-    """What one caller uses.
+class CallerUsage:
+    """The current usage of one caller.
 
     Attributes:
-      running: Statements that run or wait.
-      tokens: Statements that it may send at once.
-      filled_at: When `tokens` was last brought up to date.
+      tokens: The tokens in the caller's bucket; each statement takes one.
+      filled_at: When `tokens` was last updated, in seconds of the clock used
+        for `CallerLimits.admit`.
+      running: How many admitted statements have not ended.
     """
 
     tokens: float
@@ -34,82 +35,98 @@
 
 @attrs.define
 class CallerLimits:
-    """Token bucket and concurrency of each caller of a class.
+    """A token bucket and a concurrency limit for each caller of a class.
 
-    A caller is remembered while it has statements running or its bucket is
-    not full, so forgetting one never gives it more. If too many have to be
-    remembered, new ones are refused.
+    A caller may be evicted only if it has no running statements and its
+    bucket is full, so an eviction never grants additional statements. If the
+    table is full and no caller can be evicted, new callers are refused.
 
     Attributes:
-      spec: The class's limits.
-      max_callers: How many callers are remembered.
-      callers: The use of each remembered caller, least recent first.
+      spec: The limits of the class.
+      max_callers: The maximum number of callers in the table.
+      callers: The usage of each caller by name, least recently used first.
     """
 
     spec: CallerClassSpec
     max_callers: int = MAX_CALLERS
-    callers: dict[str, CallerUse] = attrs.Factory(dict)
+    callers: dict[str, CallerUsage] = attrs.Factory(dict)
 
-    def offer(self, caller: str, now: float) -> NotRun | None:
-        """Count a statement of a caller, or refuse it.
+    def admit(self, caller: str, now: float) -> NotRun | None:
+        """Admit a statement of a caller, or refuse it.
 
         Args:
           caller: The caller's name.
-          now: The current time.
+          now: The current time in seconds.
 
         Returns:
-          None if the statement may go on; `finish` has to follow.
+          None if the statement is admitted, in which case `finish` must be
+          called when it ends; otherwise the refusal.
         """
-        use = self.use(caller, now)
-        if use is None:
-            return self.refuse("too many callers at once", BUSY_RETRY_AFTER_MS)
-        if use.running >= self.spec.max_concurrent:
+        usage = self.usage(caller, now)
+        if usage is None:
+            return self.refuse("too many active callers", BUSY_RETRY_AFTER_MS)
+        if usage.running >= self.spec.max_concurrent:
             return self.refuse(
-                "too many statements at once", BUSY_RETRY_AFTER_MS
+                "too many concurrent statements", BUSY_RETRY_AFTER_MS
             )
-        if self.spec.rate_per_second and use.tokens < 1:
-            wait = (1 - use.tokens) / self.spec.rate_per_second
-            return self.refuse("too many statements", math.ceil(wait * 1000))
-        use.tokens -= 1
-        use.running += 1
+        if self.spec.rate_per_second and usage.tokens < 1:
+            wait = (1 - usage.tokens) / self.spec.rate_per_second
+            return self.refuse(
+                "statement rate limit exceeded", math.ceil(wait * 1000)
+            )
+        usage.tokens -= 1
+        usage.running += 1
         return None
 
     def finish(self, caller: str) -> None:
-        """Count the end of a statement that was let through."""
+        """Record that an admitted statement ended."""
         self.callers[caller].running -= 1
 
     def refuse(self, detail: str, after_ms: int) -> NotRun:
-        """Return a refusal with the time to come back."""
+        """Return a refusal with the delay after which to retry."""
         after_ms = max(MIN_RETRY_AFTER_MS, after_ms)
         return NotRun(NotRunReason.LIMITED, detail, after_ms)
 
-    def use(self, caller: str, now: float) -> CallerUse | None:
-        """Return a caller's use, brought up to date and made most recent."""
-        use = self.callers.pop(caller, None)
-        if use is None:
-            if not self.make_room(now):
+    def usage(self, caller: str, now: float) -> CallerUsage | None:
+        """Refill a caller's bucket and mark it as most recently used.
+
+        Returns:
+          The caller's usage, or None if the table is full.
+        """
+        usage = self.callers.pop(caller, None)
+        if usage is None:
+            if not self.ensure_capacity(now):
                 return None
-            use = CallerUse(self.spec.burst, now)
-        self.refill(use, now)
-        self.callers[caller] = use
-        return use
-
-    def refill(self, use: CallerUse, now: float) -> None:
-        """Add the tokens that have come in since the last time."""
-        earned = (now - use.filled_at) * self.spec.rate_per_second
+            usage = CallerUsage(self.spec.burst, now)
+        self.refill(usage, now)
+        self.callers[caller] = usage
+        return usage
+
+    def refill(self, usage: CallerUsage, now: float) -> None:
+        """Add the tokens that accrued since the last refill."""
+        added = (now - usage.filled_at) * self.spec.rate_per_second
         if not self.spec.rate_per_second:
-            earned = self.spec.burst
-        use.tokens = min(self.spec.burst, use.tokens + earned)
-        use.filled_at = now
+            added = self.spec.burst
+        usage.tokens = min(self.spec.burst, usage.tokens + added)
+        usage.filled_at = now
 
-    def make_room(self, now: float) -> bool:
-        """Forget one of the least recent callers; return if one more fits."""
+    def ensure_capacity(self, now: float) -> bool:
+        """Evict an idle caller if the table is full.
+
+        Only the MAX_CALLERS_EXAMINED least recently used callers are
+        considered, which bounds the time of an admission.
+
+        Returns:
+          Whether the table has room for another caller.
+        """
         if len(self.callers) < self.max_callers:
             return True
-        oldest = itertools.islice(self.callers.items(), MAX_CALLERS_EXAMINED)
-        for caller, use in oldest:
-            self.refill(use, now)
-            if use.running == 0 and use.tokens >= self.spec.burst:
+        least_recent = itertools.islice(
+            self.callers.items(), MAX_CALLERS_EXAMINED
+        )
+        for caller, usage in least_recent:
+            self.refill(usage, now)
+            if usage.running == 0 and usage.tokens >= self.spec.burst:
                 del self.callers[caller]
                 return True
         return False
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/retry_budget.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/retry/retry_budget.py
@@ -1,32 +1,33 @@
-"""A bound on retries that keeps them from multiplying load."""
+"""A budget that keeps retries from amplifying an overload."""
 
 import attrs
 
 RETRY_FRACTION = 0.1
-MAX_SAVED_RETRIES = 10.0
+MAX_BALANCE = 10.0
 
 
 @attrs.define
 class RetryBudget:
-    """Retries as at most a fraction of first attempts.
+    """A budget that limits retries to a fraction of first attempts.
 
     Attributes:
-      fraction: Retries that each first attempt allows.
-      maximum: The most retries that can be saved up.
-      saved: The retries saved up.
+      fraction: The number of retries that each first attempt adds to the
+        balance.
+      max_balance: The maximum balance.
+      balance: The accumulated retries; each retry withdraws 1.
     """
 
     fraction: float = RETRY_FRACTION
-    maximum: float = MAX_SAVED_RETRIES
-    saved: float = 0.0
+    max_balance: float = MAX_BALANCE
+    balance: float = 0.0
 
-    def attempt(self) -> None:
-        """Count a first attempt."""
-        self.saved = min(self.maximum, self.saved + self.fraction)
+    def record_attempt(self) -> None:
+        """Record a first attempt, which adds to the balance."""
+        self.balance = min(self.max_balance, self.balance + self.fraction)
 
-    def take(self) -> bool:
-        """Take one retry; return whether there was one."""
-        if self.saved < 1.0:
+    def try_withdraw(self) -> bool:
+        """Withdraw one retry and return whether the balance allowed it."""
+        if self.balance < 1.0:
             return False
-        self.saved -= 1.0
+        self.balance -= 1.0
         return True
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/session_reads.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/routing/session_reads.py
@@ -1,23 +1,24 @@
-"""Monotonic reads for the sessions of one proxy."""
+"""Monotonic reads for the sessions of a proxy."""
 
 import attrs
 
 from jackdawcrank_policy.freshness import Evidence
-from jackdawcrank_policy.routing.read_hold import ReadHold
-from jackdawcrank_policy.routing.read_mark import ReadMark
+from jackdawcrank_policy.routing.answered_read import AnsweredRead
+from jackdawcrank_policy.routing.read_constraint import ReadConstraint
 
 
 @attrs.define
 class SessionReads:
     """The last read of one session on each group.
 
-    Only the last read counts: it was at or above the ones before it.
+    The last read is enough, because its position was at or above the
+    positions of all earlier reads.
 
     Attributes:
-      marks: The mark of the last read on each group.
+      by_group: The last read on each group, by the group's name.
     """
 
-    marks: dict[str, ReadMark] = attrs.Factory(dict)
+    by_group: dict[str, AnsweredRead] = attrs.Factory(dict)
 
     def record(
         self,
@@ -32,35 +33,39 @@
         Args:
           group: The group's name.
           server: The server that answered.
-          ended_at: When the answer came, on the observer's clock.
-          term: The term under which the server was chosen.
+          ended_at: When the answer arrived, in seconds of the observer's
+            monotonic clock.
+          term: The term under which the server was selected.
           observer: The proxy process that ran the read.
         """
-        self.marks[group] = ReadMark(server, ended_at, term, observer)
+        self.by_group[group] = AnsweredRead(server, ended_at, term, observer)
 
-    def hold(
+    def constraint(
         self,
         group: str,
         evidence: Evidence,
         observer: str = "",
         now: float = 0.0,
-    ) -> ReadHold | None:
-        """Return what the session's last read on a group asks of its next.
+    ) -> ReadConstraint | None:
+        """Return the constraint on the session's next read on a group.
 
         Args:
           group: The group's name.
-          evidence: The group's evidence on the observer.
-          observer: The proxy process that chooses the server.
-          now: Its current time.
+          evidence: The group's evidence, collected by the observer.
+          observer: The proxy process that routes the read.
+          now: Its current time in seconds of its monotonic clock.
+
+        Returns:
+          None if the session has not read from the group.
         """
-        mark = self.marks.get(group)
-        if mark is None:
+        read = self.by_group.get(group)
+        if read is None:
             return None
-        judged = mark.on_clock(observer, now).resolved(evidence)
+        judged = read.on_clock(observer, now).resolved(evidence)
         if judged.bound is not None:
-            self.marks[group] = judged
-        return judged.hold(evidence.branch.term)
+            self.by_group[group] = judged
+        return judged.constraint(evidence.branch.term)
 
     def forget(self, group: str) -> None:
-        """Drop a group, after its bound went into the token or was lost."""
-        self.marks.pop(group, None)
+        """Remove a group whose bound was lost or moved into the token."""
+        self.by_group.pop(group, None)
