--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/__init__.py
@@ -9,14 +9,14 @@
 from jackdawcrank_policy.homes.home_vms import home_count, home_vms
 from jackdawcrank_policy.homes.member import Member
 from jackdawcrank_policy.homes.watch_order import (
-    MOST_CONTACTS,
-    VOUCHERS,
-    vms_above,
+    MAX_UPSTREAMS,
+    MIN_UPSTREAMS,
+    upstream_vms,
 )
 
 __all__ = [
-    "MOST_CONTACTS",
-    "VOUCHERS",
+    "MAX_UPSTREAMS",
+    "MIN_UPSTREAMS",
     "HomeIndex",
     "HomePlan",
     "Member",
@@ -24,5 +24,5 @@
     "home_vms",
     "plan_homes",
     "region_homes",
-    "vms_above",
+    "upstream_vms",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/group_ranking.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/group_ranking.py
@@ -3,10 +3,10 @@
 import heapq
 from collections.abc import Collection, Mapping
 
-from jackdawcrank_policy.homes.home_vms import weight
+from jackdawcrank_policy.homes.home_vms import key_weight
 
 # The order of one VM in its group; the smallest is the best.
-Standing = tuple[int, str]
+RankedVm = tuple[int, str]
 
 
 class GroupRanking:
@@ -23,83 +23,94 @@
     def __init__(self, group: str, count: int) -> None:
         self.prefix = group.encode() + b"\0"
         self.count = count
-        self.best: dict[str, list[Standing]] = {}
+        self.best: dict[str, list[RankedVm]] = {}
         self.homes: tuple[str, ...] = ()
 
     def update(
         self,
-        gone: Mapping[str, Collection[str]],
-        come: Mapping[str, Mapping[str, bytes]],
+        left: Mapping[str, Collection[str]],
+        joined: Mapping[str, Mapping[str, bytes]],
         members: Mapping[str, Mapping[str, bytes]],
     ) -> bool:
         """Follow VMs that went and came; return whether the homes changed.
 
         Args:
-          gone: The names of the VMs that left each data centre.
-          come: The VMs that joined each data centre, their names encoded.
+          left: The names of the VMs that left each data centre.
+          joined: The VMs that joined each data centre, their names encoded.
           members: All VMs of each data centre after the change.
         """
-        touched = False
-        for center, names in gone.items():
-            touched |= self.drop(center, names, members.get(center, {}))
-        for center, vms in come.items():
-            touched |= self.offer(center, vms)
-        if not touched:
+        best_changed = False
+        for data_center, names in left.items():
+            best_changed |= self.remove(
+                data_center, names, members.get(data_center, {})
+            )
+        for data_center, vms in joined.items():
+            best_changed |= self.add(data_center, vms)
+        if not best_changed:
             return False
-        earlier = self.homes
-        self.homes = self.choose()
-        return self.homes != earlier
+        previous = self.homes
+        self.homes = self.select_homes()
+        return self.homes != previous
 
-    def drop(
-        self, center: str, names: Collection[str], members: Mapping[str, bytes]
+    def remove(
+        self,
+        data_center: str,
+        names: Collection[str],
+        members: Mapping[str, bytes],
     ) -> bool:
         """Remove VMs of a data centre; return whether one was among the best.
 
         Args:
-          center: The data centre.
+          data_center: The data centre.
           names: The VMs that left it.
           members: The VMs in it after the change.
         """
-        best = self.best.get(center, [])
+        best = self.best.get(data_center, [])
         if not any(vm in names for _, vm in best):
             return False
-        left = heapq.nsmallest(self.count, self.standings(members))
-        if left:
-            self.best[center] = left
+        remaining = heapq.nsmallest(self.count, self.ranked_vms(members))
+        if remaining:
+            self.best[data_center] = remaining
         else:
-            del self.best[center]
+            del self.best[data_center]
         return True
 
-    def offer(self, center: str, vms: Mapping[str, bytes]) -> bool:
+    def add(self, data_center: str, vms: Mapping[str, bytes]) -> bool:
         """Take VMs of a data centre; return whether one is among the best.
 
         Args:
-          center: The data centre.
+          data_center: The data centre.
           vms: The VMs that joined it, their names encoded.
         """
-        best = self.best.get(center, [])
-        standings = self.standings(vms)
+        best = self.best.get(data_center, [])
+        ranked_vms = self.ranked_vms(vms)
         if len(best) >= self.count:
-            standings = [one for one in standings if one < best[-1]]
-        if not standings:
+            ranked_vms = [
+                ranked_vm for ranked_vm in ranked_vms if ranked_vm < best[-1]
+            ]
+        if not ranked_vms:
             return False
-        self.best[center] = heapq.nsmallest(self.count, {*best, *standings})
+        self.best[data_center] = heapq.nsmallest(
+            self.count, {*best, *ranked_vms}
+        )
         return True
 
-    def standings(self, vms: Mapping[str, bytes]) -> list[Standing]:
+    def ranked_vms(self, vms: Mapping[str, bytes]) -> list[RankedVm]:
         """Return the standing of each VM.
 
         Args:
           vms: The VMs' encoded names by name.
         """
         prefix = self.prefix
-        return [(-weight(prefix + name), vm) for vm, name in vms.items()]
+        return [(-key_weight(prefix + name), vm) for vm, name in vms.items()]
 
-    def choose(self) -> tuple[str, ...]:
+    def select_homes(self) -> tuple[str, ...]:
         """Return the homes, each data centre's best before any second."""
-        turns = [
-            (turn, standing)
+        candidates = [
+            (local_rank, ranked_vm)
             for best in self.best.values()
-            for turn, standing in enumerate(best)
+            for local_rank, ranked_vm in enumerate(best)
         ]
-        return tuple(vm for _, (_, vm) in heapq.nsmallest(self.count, turns))
+        return tuple(
+            vm for _, (_, vm) in heapq.nsmallest(self.count, candidates)
+        )
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_index.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_index.py
@@ -15,14 +15,14 @@
     Attributes:
       count: How many homes a group has.
       members: The data centre of each VM that may be a home.
-      centers: The VMs of each data centre, their names encoded.
+      vms_by_data_center: The VMs of each data centre, their names encoded.
       rankings: The groups.
     """
 
     def __init__(self, count: int) -> None:
         self.count = count
         self.members: dict[str, str] = {}
-        self.centers: dict[str, dict[str, bytes]] = {}
+        self.vms_by_data_center: dict[str, dict[str, bytes]] = {}
         self.rankings: dict[str, GroupRanking] = {}
 
     def homes(self, group: str) -> tuple[str, ...]:
@@ -34,11 +34,11 @@
         ranking = self.rankings.get(group)
         if ranking is None:
             ranking = GroupRanking(group, self.count)
-            ranking.update({}, self.centers, self.centers)
+            ranking.update({}, self.vms_by_data_center, self.vms_by_data_center)
             self.rankings[group] = ranking
         return ranking.homes
 
-    def forget(self, group: str) -> None:
+    def remove_group(self, group: str) -> None:
         """Follow a group no more.
 
         Args:
@@ -52,36 +52,36 @@
         Args:
           members: The data centre of each VM that may be a home.
         """
-        gone = self._remove(members)
-        come = self._add(members)
+        left = self._remove(members)
+        joined = self._add(members)
         self.members = dict(members)
-        if not gone and not come:
+        if not left and not joined:
             return set()
         return {
             group
             for group, ranking in self.rankings.items()
-            if ranking.update(gone, come, self.centers)
+            if ranking.update(left, joined, self.vms_by_data_center)
         }
 
     def _remove(self, members: Mapping[str, str]) -> dict[str, set[str]]:
         """Remove the VMs that left their data centre and return them."""
-        gone: dict[str, set[str]] = {}
-        for vm, center in self.members.items():
-            if members.get(vm) != center:
-                gone.setdefault(center, set()).add(vm)
-        for center, names in gone.items():
+        left: dict[str, set[str]] = {}
+        for vm, data_center in self.members.items():
+            if members.get(vm) != data_center:
+                left.setdefault(data_center, set()).add(vm)
+        for data_center, names in left.items():
             for vm in names:
-                del self.centers[center][vm]
-            if not self.centers[center]:
-                del self.centers[center]
-        return gone
+                del self.vms_by_data_center[data_center][vm]
+            if not self.vms_by_data_center[data_center]:
+                del self.vms_by_data_center[data_center]
+        return left
 
     def _add(self, members: Mapping[str, str]) -> dict[str, dict[str, bytes]]:
         """Add the VMs that joined a data centre and return them."""
-        come: dict[str, dict[str, bytes]] = {}
-        for vm, center in members.items():
-            if self.members.get(vm) != center:
-                come.setdefault(center, {})[vm] = vm.encode()
-        for center, vms in come.items():
-            self.centers.setdefault(center, {}).update(vms)
-        return come
+        joined: dict[str, dict[str, bytes]] = {}
+        for vm, data_center in members.items():
+            if self.members.get(vm) != data_center:
+                joined.setdefault(data_center, {})[vm] = vm.encode()
+        for data_center, vms in joined.items():
+            self.vms_by_data_center.setdefault(data_center, {}).update(vms)
+        return joined
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_plan.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_plan.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from jackdawcrank_policy.homes.home_vms import rank
+from jackdawcrank_policy.homes.home_vms import vm_weight
 from jackdawcrank_policy.homes.member import Member
 
 # With fewer connections than this to a server, transactions of one VM wait for
@@ -20,7 +20,7 @@
 MAX_CONNECTIONS = 16
 # One home of a region may be lost or leave; more of them only split the
 # servers' slots into parts that cannot help each other out.
-REGION_HOMES = 2
+HOMES_PER_REGION = 2
 # Before other VMs are known: 15 to 21 of them, and up to 6 that are added.
 EXPECTED_VMS = 24
 
@@ -30,13 +30,13 @@
     """How one group's connections are shared.
 
     Attributes:
-      everywhere: Whether every VM is a home.
+      on_every_vm: Whether every VM is a home.
       per_region: Homes of a region, if not.
       connections: Connections that one home may hold to one server.
       homes: Homes in all regions together.
     """
 
-    everywhere: bool
+    on_every_vm: bool
     per_region: int
     connections: int
     homes: int
@@ -54,9 +54,9 @@
     if share >= MIN_CONNECTIONS or not vms:
         connections = min(MAX_CONNECTIONS, max(MIN_CONNECTIONS, share))
         return HomePlan(True, 0, connections, vms or EXPECTED_VMS)
-    homes = max(1, regions) * REGION_HOMES
+    homes = max(1, regions) * HOMES_PER_REGION
     connections = min(MAX_CONNECTIONS, max(1, limit // homes))
-    return HomePlan(False, REGION_HOMES, connections, homes)
+    return HomePlan(False, HOMES_PER_REGION, connections, homes)
 
 
 def region_homes(
@@ -73,6 +73,10 @@
     """
     ranked = sorted(
         members,
-        key=lambda one: (-one.capacity, -rank(group, one.vm), one.vm),
+        key=lambda member: (
+            -member.capacity,
+            -vm_weight(group, member.vm),
+            member.vm,
+        ),
     )
     return tuple(ranked[:count])
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_vms.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_vms.py
@@ -25,31 +25,33 @@
       data_centers: The data centre of each VM. If given, a data centre gets
         a second home only after every other one has its first.
     """
-    ranked = sorted(set(live_vms), key=lambda vm: (-rank(group, vm), vm))
+    ranked = sorted(set(live_vms), key=lambda vm: (-vm_weight(group, vm), vm))
     if data_centers is not None:
-        ranked = spread(ranked, data_centers)
+        ranked = interleave_data_centers(ranked, data_centers)
     return tuple(ranked[:count])
 
 
-def rank(group: str, vm: str) -> int:
+def vm_weight(group: str, vm: str) -> int:
     """Return the weight of a VM for a group."""
-    return weight(f"{group}\0{vm}".encode())
+    return key_weight(f"{group}\0{vm}".encode())
 
 
-def weight(key: bytes) -> int:
+def key_weight(key: bytes) -> int:
     """Return the weight of a group's and a VM's names, joined by a zero."""
     return xxhash.xxh3_64_intdigest(key)
 
 
-def spread(ranked: list[str], data_centers: Mapping[str, str]) -> list[str]:
+def interleave_data_centers(
+    ranked: list[str], data_centers: Mapping[str, str]
+) -> list[str]:
     """Return ranked VMs reordered so that data centres take turns."""
     used: dict[str, int] = {}
-    rounds = []
+    round_order = []
     for index, vm in enumerate(ranked):
         data_center = data_centers.get(vm, "")
-        rounds.append((used.get(data_center, 0), index))
+        round_order.append((used.get(data_center, 0), index))
         used[data_center] = used.get(data_center, 0) + 1
-    return [ranked[index] for _, index in sorted(rounds)]
+    return [ranked[index] for _, index in sorted(round_order)]
 
 
 def home_count(slots: int, servers: int, per_home: int) -> int:
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/watch_order.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/watch_order.py
@@ -13,20 +13,24 @@
 
 # One VM may be cut off from the store without noticing for the length of a
 # call that waits for changes; two at a time seldom are.
-VOUCHERS = 2
+MIN_UPSTREAMS = 2
 # With more of them down than that, following the store is the quicker way.
-MOST_CONTACTS = 6
+MAX_UPSTREAMS = 6
 # Any constant name: the order is per region, not per group.
-ORDER_NAME = ""
+RANKING_KEY = ""
 
 
-def vms_above(own: Member, members: Iterable[Member]) -> tuple[Member, ...]:
+def upstream_vms(own: Member, members: Iterable[Member]) -> tuple[Member, ...]:
     """Return the VMs of a region that come before one, the first first.
 
     Args:
       own: The VM.
       members: All VMs that are known.
     """
-    near = [one for one in members if one.region == own.region]
-    order = region_homes(ORDER_NAME, {*near, own}, len(near) + 1)
-    return order[: order.index(own)]
+    region_members = [
+        member for member in members if member.region == own.region
+    ]
+    ranked = region_homes(
+        RANKING_KEY, {*region_members, own}, len(region_members) + 1
+    )
+    return ranked[: ranked.index(own)]
--- a/packages/jackdawcrank-policy/tests/homes/test_home_index.py
+++ b/packages/jackdawcrank-policy/tests/homes/test_home_index.py
@@ -58,10 +58,10 @@
     assert {group: index.homes(group) for group in GROUPS} == first
 
 
-def test_a_forgotten_group_is_not_told_of() -> None:
+def test_removed_group_is_not_reported() -> None:
     index = HomeIndex(3)
     index.homes("ledger")
     index.homes("depot")
-    index.forget("ledger")
+    index.remove_group("ledger")
     assert index.update({"vm1": "dc0"}) == {"depot"}
     assert index.homes("ledger") == ("vm1",)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
@@ -213,7 +213,7 @@
         spec = self.configuration.groups.get(name)
         home = self.homes.get(name)
         if spec is None:
-            self.index.forget(name)
+            self.index.remove_group(name)
             if home is not None:
                 self._retire(name, home)
             return
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/homes.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/homes.py
@@ -8,7 +8,7 @@
     plan_homes,
     region_homes,
 )
-from jackdawcrank_policy.homes.home_vms import rank
+from jackdawcrank_policy.homes.home_vms import vm_weight
 
 
 class Homes:
@@ -60,7 +60,7 @@
           group: The group.
         """
         plan = self.plan(group)
-        if plan.everywhere:
+        if plan.on_every_vm:
             return True
         homes = self.order(group)[: plan.per_region]
         return any(one.vm == self.rows.own.vm for one in homes)
@@ -80,7 +80,7 @@
 
         def preference(member: Member) -> tuple[bool, int]:
             away = member.data_center != own.data_center
-            return away, -rank(own.vm, member.vm)
+            return away, -vm_weight(own.vm, member.vm)
 
         homes = sorted(order[: plan.per_region], key=preference)
         return [*homes, *order[plan.per_region : 2 * plan.per_region]]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/watch_contacts.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/watch_contacts.py
@@ -10,10 +10,10 @@
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
 from jackdawcrank_policy.homes import (
-    MOST_CONTACTS,
-    VOUCHERS,
+    MAX_UPSTREAMS,
+    MIN_UPSTREAMS,
     Member,
-    vms_above,
+    upstream_vms,
 )
 
 # A VM that was relied on and is gone is replaced this soon; meanwhile the
@@ -73,8 +73,8 @@
         members = self.members.members
         if members is not self.ordered_for:
             self.ordered_for = members
-            order = vms_above(self.members.own, members.values())
-            self.order = order[:MOST_CONTACTS]
+            order = upstream_vms(self.members.own, members.values())
+            self.order = order[:MAX_UPSTREAMS]
         return self.order
 
     def streams(self) -> list[HomeStream]:
@@ -91,7 +91,7 @@
         vouching = [
             one for one in self.streams() if one.vouches(table, VOUCHED_SECONDS)
         ]
-        return len(vouching) >= VOUCHERS
+        return len(vouching) >= MIN_UPSTREAMS
 
     async def check(self, _now: float) -> None:
         """Ask more VMs to tell the tables, if too few do.
@@ -103,7 +103,7 @@
         self.note(tables)
         useful = 0
         for member in self.above():
-            if useful >= VOUCHERS:
+            if useful >= MIN_UPSTREAMS:
                 return
             stream = await self.router.reach(member)
             if stream is None or stream.leaving:
