--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/membership.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/membership.py
@@ -9,7 +9,7 @@
 from jackdawcrank_policy.membership.view import MembershipView
 from jackdawcrank_policy.values import Vm, VmState
 
-FORGET_SECONDS = 300.0
+SILENT_RETENTION_SECONDS = 300.0
 
 
 @attrs.define
@@ -31,26 +31,26 @@
     evidence: dict[str, Evidence] = attrs.field(factory=dict)
     leaving: bool = False
 
-    def of(self, name: str) -> Evidence:
+    def evidence_for(self, name: str) -> Evidence:
         """Return the evidence on a VM, empty at first."""
         return self.evidence.setdefault(name, Evidence())
 
-    def listed(self, vms: Iterable[Vm]) -> None:
+    def record_vm_list(self, vms: Iterable[Vm]) -> None:
         """Take in the platform's list of VMs."""
         by_name = {vm.name: vm for vm in vms}
         for name in self.evidence.keys() | by_name.keys():
-            self.note_listing(name, by_name.get(name))
+            self.record_listing(name, by_name.get(name))
 
-    def note_listing(self, name: str, vm: Vm | None) -> None:
+    def record_listing(self, name: str, vm: Vm | None) -> None:
         """Record whether and how the list names a VM."""
-        evidence = self.of(name)
+        evidence = self.evidence_for(name)
         evidence.listed = vm is not None
         if vm is not None:
             evidence.vm = vm
-            leaves = vm.state is VmState.LEAVING
-            evidence.leaving = evidence.leaving or leaves
+            is_leaving = vm.state is VmState.LEAVING
+            evidence.leaving = evidence.leaving or is_leaving
 
-    def lease_read(
+    def record_lease_row(
         self, reading: LeaseReading, vm: Vm | None, now: float
     ) -> None:
         """Take in a VM's lease row.
@@ -60,16 +60,16 @@
           vm: The address that the row gives, if any.
           now: The instant before the read was sent.
         """
-        evidence = self.of(reading.vm)
-        evidence.note_lease(reading, now)
+        evidence = self.evidence_for(reading.vm)
+        evidence.record_lease(reading, now)
         evidence.vm = evidence.vm or vm
 
-    def lease_missing(self, name: str) -> None:
+    def record_missing_lease_row(self, name: str) -> None:
         """Take in that a VM has no lease row (it removed it on leaving)."""
-        evidence = self.of(name)
-        evidence.reading, evidence.advanced_at = None, None
+        evidence = self.evidence_for(name)
+        evidence.reading, evidence.renewed_at = None, None
 
-    def heard(
+    def record_message(
         self, name: str, vm: Vm | None, now: float, boot: str = ""
     ) -> None:
         """Take in that a stream carried something from a VM.
@@ -80,19 +80,19 @@
           now: The present.
           boot: The id of its process, if the stream told it.
         """
-        evidence = self.of(name)
-        evidence.note_heard(now)
+        evidence = self.evidence_for(name)
+        evidence.record_message(now)
         if boot:
-            evidence.note_boot(boot)
+            evidence.record_boot(boot)
         evidence.vm = vm or evidence.vm
 
-    def stream_failed(self, name: str, now: float) -> None:
+    def record_stream_failure(self, name: str, now: float) -> None:
         """Take in that a stream to a VM broke or could not be opened."""
-        self.of(name).note_failed(now)
+        self.evidence_for(name).record_stream_failure(now)
 
-    def announced_leaving(self, name: str) -> None:
+    def record_leaving(self, name: str) -> None:
         """Take in that a VM says it is leaving."""
-        self.of(name).leaving = True
+        self.evidence_for(name).leaving = True
 
     def suspects(self, now: float) -> tuple[str, ...]:
         """Return the VMs whose lease rows should be read soon, in order.
@@ -105,7 +105,7 @@
             sorted(
                 name
                 for name, evidence in self.evidence.items()
-                if name != self.own.name and evidence.in_doubt(now)
+                if name != self.own.name and evidence.needs_lease_read(now)
             )
         )
 
@@ -123,10 +123,12 @@
         live = tuple(sorted(vms.keys() - leaving))
         return MembershipView(live, tuple(sorted(leaving)), vms)
 
-    def forget(self, now: float) -> None:
+    def remove_silent(self, now: float) -> None:
         """Drop unlisted VMs that have given no sign of life for long."""
         for name, evidence in list(self.evidence.items()):
-            last = max(evidence.heard_at or 0.0, evidence.read_at)
-            silent = now - last > FORGET_SECONDS
+            last_seen_at = max(
+                evidence.last_message_at or 0.0, evidence.read_at
+            )
+            silent = now - last_seen_at > SILENT_RETENTION_SECONDS
             if silent and not evidence.listed:
                 del self.evidence[name]
--- a/packages/jackdawcrank-policy/tests/membership/test_membership.py
+++ b/packages/jackdawcrank-policy/tests/membership/test_membership.py
@@ -24,137 +24,135 @@
 
 @pytest.fixture
 def membership() -> Membership:
-    found = Membership(OWN)
-    found.listed([OWN, vm("vm-1")])
-    return found
+    instance = Membership(OWN)
+    instance.record_vm_list([OWN, vm("vm-1")])
+    return instance
 
 
-def read_unmoved(membership: Membership, start: float, count: int) -> float:
+def read_unrenewed(membership: Membership, start: float, count: int) -> float:
     now = start
     for _ in range(count):
-        membership.lease_read(reading(1), None, now)
+        membership.record_lease_row(reading(1), None, now)
         now += READ_SECONDS
     return now
 
 
-def test_the_list_alone_decides_without_evidence(
+def test_vm_list_decides_without_other_evidence(
     membership: Membership,
 ) -> None:
     assert membership.view(1e6).live == ("vm-0", "vm-1")
 
 
-def test_a_listed_vm_whose_lease_stands_still_is_left_out(
+def test_listed_vm_with_expired_lease_is_excluded(
     membership: Membership,
 ) -> None:
-    now = read_unmoved(membership, 0.0, 4)
+    now = read_unrenewed(membership, 0.0, 4)
     assert "vm-1" in membership.view(now).live
-    now = read_unmoved(membership, now, 1)
+    now = read_unrenewed(membership, now, 1)
     assert membership.view(now).live == ("vm-0",)
 
 
-def test_an_outage_between_two_readings_proves_nothing(
+def test_lease_does_not_expire_across_a_read_outage(
     membership: Membership,
 ) -> None:
-    membership.lease_read(reading(1), None, 0.0)
-    membership.lease_read(reading(1), None, 600.0)
+    membership.record_lease_row(reading(1), None, 0.0)
+    membership.record_lease_row(reading(1), None, 600.0)
     assert "vm-1" in membership.view(600.0).live
 
 
-def test_a_listed_vm_whose_streams_fail_is_left_out(
+def test_listed_vm_with_failed_streams_is_excluded(
     membership: Membership,
 ) -> None:
-    membership.lease_read(reading(1), None, 9.0)
-    membership.stream_failed("vm-1", 10.0)
+    membership.record_lease_row(reading(1), None, 9.0)
+    membership.record_stream_failure("vm-1", 10.0)
     assert "vm-1" in membership.view(12.9).live
     assert membership.view(13.0).live == ("vm-0",)
     assert membership.suspects(13.0) == ("vm-1",)
 
 
-def test_a_renewal_speaks_for_a_vm_that_only_this_one_cannot_reach(
+def test_renewal_keeps_a_vm_that_only_this_vm_cannot_reach(
     membership: Membership,
 ) -> None:
-    membership.lease_read(reading(1), None, 9.0)
-    membership.stream_failed("vm-1", 10.0)
-    membership.lease_read(reading(2), None, 14.0)
+    membership.record_lease_row(reading(1), None, 9.0)
+    membership.record_stream_failure("vm-1", 10.0)
+    membership.record_lease_row(reading(2), None, 14.0)
     assert "vm-1" in membership.view(14.0).live
 
 
-def test_a_stream_speaks_for_a_vm_that_cannot_renew(
+def test_stream_message_keeps_a_vm_that_cannot_renew(
     membership: Membership,
 ) -> None:
-    now = read_unmoved(membership, 0.0, 6)
-    membership.heard("vm-1", None, now)
+    now = read_unrenewed(membership, 0.0, 6)
+    membership.record_message("vm-1", None, now)
     assert "vm-1" in membership.view(now + 1).live
 
 
-def test_an_unlisted_vm_that_renews_is_taken_in() -> None:
+def test_unlisted_vm_that_renews_is_included() -> None:
     membership = Membership(OWN)
-    membership.listed([OWN])
-    membership.lease_read(reading(1), vm("vm-1"), 0.0)
+    membership.record_vm_list([OWN])
+    membership.record_lease_row(reading(1), vm("vm-1"), 0.0)
     assert membership.view(0.0).live == ("vm-0",)
-    membership.lease_read(reading(2), vm("vm-1"), 5.0)
+    membership.record_lease_row(reading(2), vm("vm-1"), 5.0)
     view = membership.view(5.0)
     assert view.live == ("vm-0", "vm-1")
     assert view.vms["vm-1"] == vm("vm-1")
 
 
-def test_an_unlisted_vm_that_is_heard_is_taken_in() -> None:
+def test_unlisted_vm_with_stream_messages_is_included() -> None:
     membership = Membership(OWN)
-    membership.heard("vm-1", vm("vm-1"), 1.0)
+    membership.record_message("vm-1", vm("vm-1"), 1.0)
     assert membership.view(2.0).live == ("vm-0", "vm-1")
     assert membership.view(12.0).live == ("vm-0",)
 
 
 @pytest.mark.parametrize("source", ["list", "lease", "announcement"])
-def test_a_leaving_vm_is_no_longer_live(
-    membership: Membership, source: str
-) -> None:
+def test_leaving_vm_is_not_live(membership: Membership, source: str) -> None:
     if source == "list":
-        membership.listed([OWN, vm("vm-1", VmState.LEAVING)])
+        membership.record_vm_list([OWN, vm("vm-1", VmState.LEAVING)])
     elif source == "lease":
-        membership.lease_read(reading(1, leaving=True), None, 0.0)
+        membership.record_lease_row(reading(1, leaving=True), None, 0.0)
     else:
-        membership.announced_leaving("vm-1")
+        membership.record_leaving("vm-1")
     view = membership.view(0.0)
     assert view.live == ("vm-0",)
     assert view.leaving == ("vm-1",)
 
 
-def test_a_new_process_of_a_vm_that_left_is_live(
+def test_new_process_of_a_leaving_vm_is_live(
     membership: Membership,
 ) -> None:
-    membership.lease_read(reading(7, leaving=True), None, 0.0)
-    membership.lease_read(reading(1, boot="b2"), None, 5.0)
+    membership.record_lease_row(reading(7, leaving=True), None, 0.0)
+    membership.record_lease_row(reading(1, boot="b2"), None, 5.0)
     assert membership.view(5.0).live == ("vm-0", "vm-1")
 
 
-def test_a_new_process_heard_on_a_stream_is_live(
+def test_new_process_seen_on_a_stream_is_live(
     membership: Membership,
 ) -> None:
-    membership.heard("vm-1", None, 0.0, "b1")
-    membership.announced_leaving("vm-1")
-    membership.heard("vm-1", None, 1.0)
-    membership.heard("vm-1", None, 1.0, "b1")
+    membership.record_message("vm-1", None, 0.0, "b1")
+    membership.record_leaving("vm-1")
+    membership.record_message("vm-1", None, 1.0)
+    membership.record_message("vm-1", None, 1.0, "b1")
     assert membership.view(1.0).live == ("vm-0",)
     assert membership.suspects(1.0) == ("vm-1",)
-    membership.heard("vm-1", None, 2.0, "b2")
+    membership.record_message("vm-1", None, 2.0, "b2")
     assert membership.view(2.0).live == ("vm-0", "vm-1")
     assert membership.suspects(2.0) == ()
 
 
-def test_own_leaving_removes_this_vm_from_its_own_view(
+def test_leaving_vm_is_not_live_in_its_own_view(
     membership: Membership,
 ) -> None:
     membership.leaving = True
     assert membership.view(0.0).live == ("vm-1",)
 
 
-def test_silent_unlisted_vms_are_forgotten() -> None:
+def test_silent_unlisted_vms_are_removed() -> None:
     membership = Membership(OWN)
-    membership.lease_read(reading(1), vm("vm-1"), 0.0)
-    membership.forget(299.0)
+    membership.record_lease_row(reading(1), vm("vm-1"), 0.0)
+    membership.remove_silent(299.0)
     assert "vm-1" in membership.evidence
-    membership.forget(301.0)
+    membership.remove_silent(301.0)
     assert "vm-1" not in membership.evidence
 
 
@@ -162,15 +160,15 @@
     periods=st.lists(st.floats(0.5, 7.0), min_size=1, max_size=40),
     outages=st.lists(st.booleans(), min_size=40, max_size=40),
 )
-def test_a_renewing_vm_is_never_left_out(
+def test_renewing_vm_is_never_excluded(
     periods: list[float], outages: list[bool]
 ) -> None:
     """Reads may fail for as long as they like; the row moves all the time."""
     membership = Membership(OWN)
-    membership.listed([OWN, vm("vm-1")])
+    membership.record_vm_list([OWN, vm("vm-1")])
     now = 0.0
     for period, out in zip(periods, outages, strict=False):
         now += period
         if not out:
-            membership.lease_read(reading(int(now / 5)), None, now)
+            membership.record_lease_row(reading(int(now / 5)), None, now)
         assert "vm-1" in membership.view(now).live
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/membership/tracker.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/membership/tracker.py
@@ -112,15 +112,15 @@
           vm: Its address, if the stream told it.
           boot: The id of its process, if the stream told it.
         """
-        self.membership.heard(name, vm, self.timer.now(), boot)
+        self.membership.record_message(name, vm, self.timer.now(), boot)
 
     def stream_failed(self, name: str) -> None:
         """Take in that a stream to a VM broke or could not be opened."""
-        self.membership.stream_failed(name, self.timer.now())
+        self.membership.record_stream_failure(name, self.timer.now())
 
     def announced_leaving(self, name: str) -> None:
         """Take in that a VM says it is leaving."""
-        self.membership.announced_leaving(name)
+        self.membership.record_leaving(name)
         self.publish(self.timer.now())
 
     async def leave(self) -> None:
@@ -150,7 +150,7 @@
         vms = await self.store.list_vms()
         if isinstance(vms, StoreUnavailable):
             return
-        self.membership.listed(vms)
+        self.membership.record_vm_list(vms)
         interval = intervals.list_interval_seconds(len(vms))
         self.list_due = now + self.jittered(interval)
 
@@ -168,7 +168,7 @@
         self.page_after = page.rows[-1].key if page.more else ""
         interval = intervals.page_interval_seconds(len(page.rows))
         self.page_due = now + self.jittered(interval)
-        self.membership.forget(now)
+        self.membership.remove_silent(now)
 
     async def read_suspects(self, now: float) -> None:
         """Read the lease rows of some VMs that are in doubt."""
@@ -180,7 +180,7 @@
             if isinstance(row, Row):
                 self.take(row, sent_at)
             elif isinstance(row, Absent):
-                self.membership.lease_missing(name)
+                self.membership.record_missing_lease_row(name)
 
     def jittered(self, interval_seconds: float) -> float:
         """Return an interval made a little longer or shorter."""
@@ -191,7 +191,7 @@
         """Take in another VM's lease row."""
         lease = decode_lease_row(row.key, row.value)
         if lease is not None and row.key != self.own.name:
-            self.membership.lease_read(lease.reading, lease.vm, now)
+            self.membership.record_lease_row(lease.reading, lease.vm, now)
 
     async def evaluate(self, now: float) -> None:
         """Work out the view again."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
@@ -334,7 +334,7 @@
         """
         if self.tracker is None:
             return
-        evidence = self.tracker.membership.of(self.settings.vm)
+        evidence = self.tracker.membership.evidence_for(self.settings.vm)
         if evidence.vm is None:
             return
         if evidence.vm.state is VmState.LIVE:
--- a/packages/jackdawcrank-proxy/tests/membership/test_tracker.py
+++ b/packages/jackdawcrank-proxy/tests/membership/test_tracker.py
@@ -178,5 +178,5 @@
     await one.start()
     platform.list_vm(vm("vm-1", VmState.LEAVING))
     await timer.advance(5.0)
-    assert one.membership.of("vm-1").vm == vm("vm-1", VmState.LEAVING)
+    assert one.membership.evidence_for("vm-1").vm == vm("vm-1", VmState.LEAVING)
     assert one.view.live == ("vm-1", "vm-2")
