--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/__init__.py
@@ -5,21 +5,21 @@
 from jackdawcrank_policy.configuration.entry import Entry
 from jackdawcrank_policy.configuration.kind import RESOURCE_KINDS, Kind
 from jackdawcrank_policy.configuration.state import (
+    AlreadyApplied,
     Applied,
     ConfigurationState,
-    Gap,
-    Old,
+    MissingChanges,
 )
 
 __all__ = [
     "RESOURCE_KINDS",
+    "AlreadyApplied",
     "Applied",
     "Change",
     "Configuration",
     "ConfigurationState",
     "Entry",
-    "Gap",
     "Kind",
-    "Old",
+    "MissingChanges",
     "Value",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/configuration.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/configuration.py
@@ -17,7 +17,7 @@
 
 T = TypeVar("T")
 
-FIELDS = {
+FIELD_BY_KIND = {
     Kind.DATABASE_GROUP: "groups",
     Kind.BACKEND_SERVER: "servers",
     Kind.CALLER_CLASS: "caller_classes",
@@ -65,7 +65,7 @@
             "version": change.version,
             "entries": replaced(self.entries, key, entry_of(change)),
         }
-        field = FIELDS.get(change.kind)  # type: ignore[call-overload]
+        field = FIELD_BY_KIND.get(change.kind)  # type: ignore[call-overload]
         if field is not None and (change.deleted or change.value is not None):
             rows = getattr(self, field)
             update[field] = replaced(rows, change.name, change.value)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/state.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/state.py
@@ -23,18 +23,18 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Gap:
+class MissingChanges:
     """Changes before this one are missing; nothing was applied.
 
     Attributes:
-      missing_from: The version of the first missing change.
+      first_missing: The version of the first missing change.
     """
 
-    missing_from: int
+    first_missing: int
 
 
 @dataclasses.dataclass(frozen=True)
-class Old:
+class AlreadyApplied:
     """The change, or a newer state, is already in force."""
 
 
@@ -58,20 +58,24 @@
         """Return the version in force."""
         return self.current.version
 
-    def apply(self, change: Change) -> Applied | Gap | Old:
+    def apply(
+        self, change: Change
+    ) -> Applied | MissingChanges | AlreadyApplied:
         """Apply a change if it is the next one."""
         if change.version <= self.version:
-            return Old()
+            return AlreadyApplied()
         if change.version > self.version + 1:
-            return Gap(self.version + 1)
+            return MissingChanges(self.version + 1)
         self.current = self.current.with_change(change)
         self.recent.append(change)
         return Applied(self.current)
 
-    def adopt(self, snapshot: Configuration) -> Applied | Old:
+    def install_snapshot(
+        self, snapshot: Configuration
+    ) -> Applied | AlreadyApplied:
         """Replace the configuration by a newer snapshot."""
         if snapshot.version <= self.version:
-            return Old()
+            return AlreadyApplied()
         self.current = snapshot
         self.recent.clear()
         return Applied(snapshot)
--- a/packages/jackdawcrank-policy/tests/configuration/test_state.py
+++ b/packages/jackdawcrank-policy/tests/configuration/test_state.py
@@ -5,13 +5,13 @@
 from hypothesis import strategies as st
 
 from jackdawcrank_policy.configuration import (
+    AlreadyApplied,
     Applied,
     Change,
     Configuration,
     ConfigurationState,
-    Gap,
     Kind,
-    Old,
+    MissingChanges,
 )
 from jackdawcrank_policy.values import GroupSpec, ServerSpec
 
@@ -49,29 +49,31 @@
     assert state.version == 1
 
 
-def test_a_gap_is_detected_and_nothing_applied(
+def test_change_after_a_gap_is_not_applied(
     state: ConfigurationState,
 ) -> None:
     state.apply(group_change(1))
-    assert state.apply(group_change(3)) == Gap(2)
+    assert state.apply(group_change(3)) == MissingChanges(2)
     assert state.version == 1
 
 
-def test_a_repeated_change_is_old(state: ConfigurationState) -> None:
+def test_repeated_change_is_already_applied(state: ConfigurationState) -> None:
     state.apply(group_change(1))
-    assert state.apply(group_change(1, slots=99)) == Old()
+    assert state.apply(group_change(1, slots=99)) == AlreadyApplied()
     assert state.current.groups["b"].slots_per_server == 1
 
 
-def test_an_older_snapshot_is_refused(state: ConfigurationState) -> None:
-    state.adopt(configuration_at(4))
-    assert state.adopt(configuration_at(4)) == Old()
-    assert state.adopt(configuration_at(3)) == Old()
+def test_snapshot_that_is_not_newer_is_ignored(
+    state: ConfigurationState,
+) -> None:
+    state.install_snapshot(configuration_at(4))
+    assert state.install_snapshot(configuration_at(4)) == AlreadyApplied()
+    assert state.install_snapshot(configuration_at(3)) == AlreadyApplied()
     assert state.current == configuration_at(4)
 
 
 def test_a_deletion_removes_the_row(state: ConfigurationState) -> None:
-    state.adopt(configuration_at(4))
+    state.install_snapshot(configuration_at(4))
     assert "c" in state.current.groups
     state.apply(group_change(5))
     assert "c" not in state.current.groups
@@ -88,22 +90,22 @@
     assert state.version == 2
 
 
-def test_a_kind_of_a_newer_release_is_kept(state: ConfigurationState) -> None:
+def test_unknown_kind_is_kept(state: ConfigurationState) -> None:
     state.apply(Change(1, "Mirror", "x", document={"spec": {"to": "y"}}))
     assert state.version == 1
     assert state.current.entries["Mirror", "x"].document["spec"]["to"] == "y"
 
 
-def test_forgotten_changes_are_reported() -> None:
+def test_discarded_changes_are_reported() -> None:
     state = ConfigurationState()
-    state.adopt(configuration_at(3))
+    state.install_snapshot(configuration_at(3))
     state.apply(group_change(4))
     assert state.changes_after(2) is None
     assert state.changes_after(3) == (group_change(4),)
     assert state.changes_after(4) == ()
 
 
-def test_servers_of_a_group_come_in_order() -> None:
+def test_servers_of_a_group_are_sorted_by_name() -> None:
     servers = {
         name: ServerSpec(name, group, "10.0.0.1", 3306)
         for name, group in (("s2", "g"), ("s1", "g"), ("s3", "h"))
@@ -117,14 +119,14 @@
         st.tuples(st.booleans(), st.integers(1, HISTORY_LENGTH)), max_size=60
     )
 )
-def test_any_interleaving_only_moves_forward(
+def test_version_never_decreases_in_any_interleaving(
     steps: list[tuple[bool, int]],
 ) -> None:
     state = ConfigurationState()
     for is_snapshot, version in steps:
         before = state.version
         if is_snapshot:
-            state.adopt(configuration_at(version))
+            state.install_snapshot(configuration_at(version))
         else:
             state.apply(group_change(version))
         assert state.version >= before
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/follower.py
@@ -18,7 +18,7 @@
     Change,
     Configuration,
     ConfigurationState,
-    Gap,
+    MissingChanges,
 )
 
 HEAD_READ_SECONDS = 0.8
@@ -226,7 +226,7 @@
 
     def adopt(self, snapshot: Configuration) -> None:
         """Put a snapshot in force if it is newer."""
-        if isinstance(self.state.adopt(snapshot), Applied):
+        if isinstance(self.state.install_snapshot(snapshot), Applied):
             self.announce(())
 
     def apply(self, changes: Iterable[Change]) -> bool:
@@ -235,7 +235,7 @@
         complete = True
         for change in changes:
             outcome = self.state.apply(change)
-            if isinstance(outcome, Gap):
+            if isinstance(outcome, MissingChanges):
                 complete = False
                 break
             if isinstance(outcome, Applied):
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/snapshot.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/snapshot.py
@@ -6,7 +6,7 @@
 
 from jackdawcrank.store.change_codec import typed_value
 from jackdawcrank_policy.configuration import Configuration, Entry, Kind
-from jackdawcrank_policy.configuration.configuration import FIELDS
+from jackdawcrank_policy.configuration.configuration import FIELD_BY_KIND
 
 FORMAT = 1
 MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024
@@ -63,7 +63,9 @@
     if document["format"] != FORMAT:
         raise ValueError(f"unknown snapshot format {document['format']!r}")
     entries: dict[tuple[str, str], Entry] = {}
-    typed: dict[str, dict[str, Any]] = {name: {} for name in FIELDS.values()}
+    typed: dict[str, dict[str, Any]] = {
+        name: {} for name in FIELD_BY_KIND.values()
+    }
     for row in document["rows"]:
         kind, name, body = str(row["kind"]), str(row["name"]), row["body"]
         entries[kind, name] = Entry(
@@ -71,6 +73,6 @@
         )
         value = typed_value(kind, name, body)
         if value is not None:
-            typed[FIELDS[Kind(kind)]][name] = value
+            typed[FIELD_BY_KIND[Kind(kind)]][name] = value
     version = int(document["version"])
     return Configuration(version=version, entries=entries, **typed)
