--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/database_spec.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/database_spec.py
@@ -17,7 +17,7 @@
       consistency: How fresh its reads are.
       max_age_seconds: The greatest age of a read; 0 for primary consistency.
       statement_timeout_seconds: The longest time of one statement.
-      aim_seconds: The latency that an operation should keep.
+      latency_objective_seconds: The latency that an operation should keep.
       priority: 0 goes first.
     """
 
@@ -26,5 +26,5 @@
     consistency: Consistency
     max_age_seconds: float
     statement_timeout_seconds: float
-    aim_seconds: float
+    latency_objective_seconds: float
     priority: int
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/listed_server.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/listed_server.py
@@ -15,7 +15,7 @@
       data_center: Where it stands.
       slots: Statements that it runs at once.
       leaving: Whether it takes no new work because it is shutting down.
-      claims_lead: Whether it takes itself for the primary.
+      reports_primary: Whether it takes itself for the primary.
       started_at_ms: Its start, Unix milliseconds by its own clock; tells two
         incarnations with one name apart.
       revision: The store's version of the report; a later report has a
@@ -29,7 +29,7 @@
     data_center: str
     slots: int
     leaving: bool
-    claims_lead: bool
+    reports_primary: bool
     started_at_ms: int
     revision: int
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -153,7 +153,7 @@
                 "server_listed",
                 group=self.name,
                 server=server.server_id,
-                leads=server.claims_lead,
+                leads=server.reports_primary,
                 leaving=server.leaving,
                 revision=server.revision,
             )
@@ -162,12 +162,12 @@
                 "server_reported",
                 group=self.name,
                 server=server.server_id,
-                leads=server.claims_lead,
+                leads=server.reports_primary,
                 leaving=server.leaving,
                 revision=server.revision,
             )
         lane.server = server
-        if not server.claims_lead:
+        if not server.reports_primary:
             self.lead_since.pop(server.server_id, None)
         else:
             self.lead_since.setdefault(server.server_id, server.revision)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_messages.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_messages.py
@@ -99,7 +99,7 @@
             spec.consistency.value,
             spec.max_age_seconds,
             spec.statement_timeout_seconds,
-            spec.aim_seconds,
+            spec.latency_objective_seconds,
             spec.priority,
         ],
         session.memory.values,
