--- a/bench/overload.py
+++ b/bench/overload.py
@@ -24,7 +24,7 @@
     Refused,
     concurrency_limit,
 )
-from jackdawcrank_policy.budget import seat_share
+from jackdawcrank_policy.budget import quota_size
 from jackdawcrank_policy.values import NotRun
 from reads_model.deployment import MOORFELD, PAMOJA, Deployment
 from report import Check, seed_argument, write_result
@@ -241,7 +241,7 @@
             ways = [self.deployment.one_way(home, s) for s in range(REGIONS)]
             round_trip = 2 * sum(ways) / REGIONS
             slots = self.deployment.slots
-            connections = seat_share(limit, home)
+            connections = quota_size(limit, home)
             new = concurrency_limit(
                 slots, gate.service, round_trip, connections
             )
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/__init__.py
@@ -1,29 +1,29 @@
 """The split of a group's connections over its home proxies."""
 
-from jackdawcrank_policy.budget.budget_ledger import (
-    LINGER_SECONDS,
-    BudgetLedger,
+from jackdawcrank_policy.budget.connection_budget import (
+    STALE_CONNECTION_SECONDS,
+    ConnectionBudget,
 )
 from jackdawcrank_policy.budget.connection_set import (
     ConnectionSet,
     ConnectionState,
 )
-from jackdawcrank_policy.budget.seats import (
-    SEATS,
-    departed,
-    plan_seats,
-    seat_share,
+from jackdawcrank_policy.budget.quotas import (
+    QUOTA_COUNT,
+    assign_quotas,
+    departed_vms,
+    quota_size,
     writer_names,
 )
 
 __all__ = [
-    "LINGER_SECONDS",
-    "SEATS",
-    "BudgetLedger",
+    "QUOTA_COUNT",
+    "STALE_CONNECTION_SECONDS",
+    "ConnectionBudget",
     "ConnectionSet",
     "ConnectionState",
-    "departed",
-    "plan_seats",
-    "seat_share",
+    "assign_quotas",
+    "departed_vms",
+    "quota_size",
     "writer_names",
 ]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/budget_ledger.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/connection_budget.py
@@ -2,13 +2,17 @@
 
 import attrs
 
-from jackdawcrank_policy.budget.seats import SEATS, departed, seat_share
+from jackdawcrank_policy.budget.quotas import (
+    QUOTA_COUNT,
+    departed_vms,
+    quota_size,
+)
 
-LINGER_SECONDS = 10.0
+STALE_CONNECTION_SECONDS = 10.0
 
 
 @attrs.define
-class BudgetLedger:
+class ConnectionBudget:
     """The seats of a group as one VM has applied them.
 
     A VM uses the share of the seat that the newest row it has applied gives
@@ -21,14 +25,15 @@
     Attributes:
       limit: Connections that the whole group accepts.
       started_at: When this process began.
-      linger: Seconds for which a dead process's connections may stay open.
+      stale_connection_seconds: Seconds for which a dead process's
+        connections may stay open.
       version: The change log's version of the newest row applied.
       writers: That row's writers, by seat.
     """
 
     limit: int
     started_at: float = 0.0
-    linger: float = LINGER_SECONDS
+    stale_connection_seconds: float = STALE_CONNECTION_SECONDS
     version: int = -1
     writers: tuple[str, ...] = ()
 
@@ -52,7 +57,7 @@
           vm: The VM's name.
           now: The current time.
         """
-        return self.part(vm, self.limit, now)
+        return self.owned_share(vm, self.limit, now)
 
     def server_share(self, vm: str, servers: int, now: float) -> int:
         """Return how many of them one of the group's servers may have.
@@ -62,7 +67,7 @@
           servers: The number of the group's servers.
           now: The current time.
         """
-        return self.part(vm, self.limit // max(1, servers), now)
+        return self.owned_share(vm, self.limit // max(1, servers), now)
 
     def may_release(self, vm: str, now: float) -> bool:
         """Return whether a VM may give up its seat in the applied row.
@@ -74,14 +79,19 @@
           vm: The VM's name.
           now: The current time.
         """
-        return self.settled(now) and vm in departed(self.writers)
+        return self.stale_connections_closed(now) and vm in departed_vms(
+            self.writers
+        )
 
-    def part(self, vm: str, limit: int, now: float) -> int:
+    def owned_share(self, vm: str, limit: int, now: float) -> int:
         """Return a VM's part of some connections."""
-        if not self.settled(now) or vm not in self.writers[:SEATS]:
+        if (
+            not self.stale_connections_closed(now)
+            or vm not in self.writers[:QUOTA_COUNT]
+        ):
             return 0
-        return seat_share(limit, self.writers.index(vm))
+        return quota_size(limit, self.writers.index(vm))
 
-    def settled(self, now: float) -> bool:
+    def stale_connections_closed(self, now: float) -> bool:
         """Return whether connections of an earlier process have run out."""
-        return now >= self.started_at + self.linger
+        return now >= self.started_at + self.stale_connection_seconds
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/connection_set.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/connection_set.py
@@ -50,7 +50,10 @@
 
     def count(self, state: ConnectionState) -> int:
         """Return how many connections are in a state."""
-        return sum(c.state is state for c in self.connections.values())
+        return sum(
+            connection.state is state
+            for connection in self.connections.values()
+        )
 
     def to_open(self, waiting: int = 0) -> list[int]:
         """Return the numbers of connections that have to be opened now.
@@ -66,10 +69,10 @@
                 ConnectionState.RESETTING,
             )
         )
-        missing = min(
+        needed = min(
             waiting + self.warm - ready, self.share - len(self.connections)
         )
-        return [self.open() for _ in range(missing)]
+        return [self.open() for _ in range(needed)]
 
     def open(self) -> int:
         """Add a connection that is being opened; return its number."""
@@ -77,7 +80,7 @@
         self.connections[self.last_number] = Connection()
         return self.last_number
 
-    def ready(self, number: int) -> bool:
+    def mark_idle(self, number: int) -> bool:
         """Make a connection idle that was opened or reset.
 
         Args:
@@ -93,7 +96,7 @@
         connection.owner = None
         return True
 
-    def take(self, owner: int) -> int | None:
+    def acquire(self, owner: int) -> int | None:
         """Give an idle connection to a transaction; None if there is none.
 
         The one that was idle for the shortest time is taken, so that the
@@ -121,7 +124,7 @@
             return False
         return connection.owner == owner
 
-    def give_back(self, number: int, owner: int, clean: bool) -> bool:
+    def release(self, number: int, owner: int, clean: bool) -> bool:
         """End a transaction's use of a connection.
 
         Args:
@@ -130,13 +133,13 @@
           clean: Whether every statement was answered as expected.
 
         Returns:
-          Whether to reset it and then call `ready`; if not, it has to be
+          Whether to reset it and then call `mark_idle`; if not, it has to be
           closed.
         """
         if not self.owns(number, owner):
             return False
         if not clean or self.excess() > 0:
-            self.doubt(number)
+            self.mark_closing(number)
             return False
         self.connections[number].state = ConnectionState.RESETTING
         return True
@@ -146,11 +149,11 @@
         closing = self.count(ConnectionState.CLOSING)
         return len(self.connections) - closing - self.share
 
-    def doubt(self, number: int) -> None:
+    def mark_closing(self, number: int) -> None:
         """Mark a connection that has to be closed."""
         self.connections[number].state = ConnectionState.CLOSING
 
-    def closed(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """Drop a connection that is closed."""
         self.connections.pop(number, None)
 
@@ -170,5 +173,5 @@
         ]
         surplus = idle[: max(0, self.excess())]
         for number in surplus:
-            self.doubt(number)
+            self.mark_closing(number)
         return surplus
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/seats.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/quotas.py
@@ -12,39 +12,45 @@
 
 from collections.abc import Collection, Sequence
 
-SEATS = 4
-DEPARTED_MARK = "!"
+QUOTA_COUNT = 4
+DEPARTED_PREFIX = "!"
 
 
-def seat_share(limit: int, seat: int, seats: int = SEATS) -> int:
+def quota_size(limit: int, quota: int, quota_count: int = QUOTA_COUNT) -> int:
     """Return the connections of one seat; all seats together have `limit`.
 
     Args:
       limit: The connections to split.
-      seat: The seat's number, from 0.
-      seats: The number of seats.
+      quota: The seat's number, from 0.
+      quota_count: The number of seats.
     """
-    if not 0 <= seat < seats:
+    if not 0 <= quota < quota_count:
         return 0
-    return limit // seats + (seat < limit % seats)
+    return limit // quota_count + (quota < limit % quota_count)
 
 
 def writer_names(writers: Sequence[str]) -> tuple[str, ...]:
     """Return the VMs of a row's writers, without the departed ones."""
-    return tuple(w for w in writers if w and not w.startswith(DEPARTED_MARK))
+    return tuple(
+        writer
+        for writer in writers
+        if writer and not writer.startswith(DEPARTED_PREFIX)
+    )
 
 
-def departed(writers: Sequence[str]) -> tuple[str, ...]:
+def departed_vms(writers: Sequence[str]) -> tuple[str, ...]:
     """Return the departed VMs whose seats are not free yet."""
-    marked = (w for w in writers if w.startswith(DEPARTED_MARK))
-    return tuple(w.removeprefix(DEPARTED_MARK) for w in marked)
+    with_prefix = (
+        writer for writer in writers if writer.startswith(DEPARTED_PREFIX)
+    )
+    return tuple(writer.removeprefix(DEPARTED_PREFIX) for writer in with_prefix)
 
 
-def plan_seats(
+def assign_quotas(
     writers: Sequence[str],
     wanted: Sequence[str],
-    freed: Collection[str],
-    seats: int = SEATS,
+    released: Collection[str],
+    quota_count: int = QUOTA_COUNT,
 ) -> tuple[str, ...]:
     """Return the writers of the next row, each VM in a seat of its own.
 
@@ -54,26 +60,26 @@
     Args:
       writers: The writers of the present row, by seat.
       wanted: The VMs that should be writers, best ranked first.
-      freed: The departed VMs that released their seats, or that are proved
+      released: The departed VMs that released their seats, or that are proved
         to be gone and whose connections have run out.
-      seats: The number of seats.
+      quota_count: The number of seats.
     """
-    planned = [*writers, *[""] * (seats - len(writers))]
-    planned = [leave_seat(owner, wanted, freed) for owner in planned]
-    newcomers = [vm for vm in wanted if vm not in planned]
-    for seat, owner in enumerate(planned):
-        if not owner and newcomers:
-            planned[seat] = newcomers.pop(0)
-    return tuple(planned)
+    owners = [*writers, *[""] * (quota_count - len(writers))]
+    owners = [quota_owner(owner, wanted, released) for owner in owners]
+    unassigned = [vm for vm in wanted if vm not in owners]
+    for quota, owner in enumerate(owners):
+        if not owner and unassigned:
+            owners[quota] = unassigned.pop(0)
+    return tuple(owners)
 
 
-def leave_seat(
-    owner: str, wanted: Sequence[str], freed: Collection[str]
+def quota_owner(
+    owner: str, wanted: Sequence[str], released: Collection[str]
 ) -> str:
     """Return who owns a seat once unwanted VMs have left."""
-    name = owner.removeprefix(DEPARTED_MARK)
+    name = owner.removeprefix(DEPARTED_PREFIX)
     if name in wanted or not name:
         return name
-    if owner != name and name in freed:
+    if owner != name and name in released:
         return ""
-    return DEPARTED_MARK + name
+    return DEPARTED_PREFIX + name
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/row_history.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/row_history.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from jackdawcrank_policy.budget import departed, writer_names
+from jackdawcrank_policy.budget import departed_vms, writer_names
 from jackdawcrank_policy.lease import LEASE_CLOSING_SECONDS
 from jackdawcrank_policy.values import GroupPhase, GroupRow
 
@@ -50,7 +50,8 @@
         self.row = row
         self.version = version
         self.departed_since = {
-            vm: self.departed_since.get(vm, now) for vm in departed(row.writers)
+            vm: self.departed_since.get(vm, now)
+            for vm in departed_vms(row.writers)
         }
         if row.phase is GroupPhase.PREPARING:
             self.claim_seen(now)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/upkeep.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/coordination/upkeep.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from jackdawcrank_policy.budget import plan_seats
+from jackdawcrank_policy.budget import assign_quotas
 from jackdawcrank_policy.coordination.takeover import acting_coordinator
 from jackdawcrank_policy.values import GroupPhase, GroupRow
 
@@ -33,6 +33,6 @@
     if acting_coordinator(row.coordinator, homes, live) != vm:
         return None
     wanted_homes = [home for home in homes if home in live]
-    writers = plan_seats(row.writers, wanted_homes, freed)
+    writers = assign_quotas(row.writers, wanted_homes, freed)
     wanted = attrs.evolve(row, writers=writers, coordinator=vm)
     return None if wanted == row else wanted
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/plan.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/plan.py
@@ -37,7 +37,7 @@
       cause: Why the term is claimed.
       expected: The group's row, or None for a group without one.
       servers: The group's backend servers.
-      writers: The writers of the new term, by seat.
+      writers: The writers of the new term, by quota.
       target: The server that a planned switch-over moves to.
       avoid: Servers that are chosen only if they are the most advanced.
       highest_term: The highest fence term that a server has reported.
--- a/packages/jackdawcrank-policy/tests/budget/test_connection_set.py
+++ b/packages/jackdawcrank-policy/tests/budget/test_connection_set.py
@@ -15,53 +15,53 @@
 def pool() -> ConnectionSet:
     pool = ConnectionSet(share=3, warm=2)
     for number in pool.to_open():
-        pool.ready(number)
+        pool.mark_idle(number)
     return pool
 
 
-def test_warm_connections_are_opened_ahead_of_need(
+def test_warm_connections_are_opened_before_they_are_needed(
     pool: ConnectionSet,
 ) -> None:
     assert pool.count(ConnectionState.IDLE) == 2
     assert pool.to_open() == []
-    assert pool.take(owner=1) is not None
+    assert pool.acquire(owner=1) is not None
     assert len(pool.to_open(waiting=5)) == 1
     assert pool.to_open(waiting=5) == []
 
 
-def test_a_doubtful_connection_counts_until_it_is_closed(
+def test_unclean_connection_counts_until_it_is_closed(
     pool: ConnectionSet,
 ) -> None:
-    first = pool.take(owner=1)
+    first = pool.acquire(owner=1)
     assert first is not None
-    assert not pool.give_back(first, 1, clean=False)
+    assert not pool.release(first, 1, clean=False)
     assert len(pool.to_open(waiting=5)) == 1
-    pool.closed(first)
+    pool.remove(first)
     assert len(pool.to_open(waiting=5)) == 1
 
 
-def test_a_late_end_does_not_touch_the_next_owner(
+def test_late_release_does_not_affect_the_next_owner(
     pool: ConnectionSet,
 ) -> None:
-    first = pool.take(owner=1)
+    first = pool.acquire(owner=1)
     assert first is not None
-    assert pool.give_back(first, 1, clean=True)
-    assert pool.take(owner=2) != first
-    assert pool.ready(first)
-    assert pool.take(owner=3) == first
+    assert pool.release(first, 1, clean=True)
+    assert pool.acquire(owner=2) != first
+    assert pool.mark_idle(first)
+    assert pool.acquire(owner=3) == first
     assert not pool.owns(first, 1)
-    assert not pool.give_back(first, 1, clean=True)
+    assert not pool.release(first, 1, clean=True)
     assert pool.owns(first, 3)
 
 
-def test_a_smaller_share_closes_idle_then_returned(
+def test_smaller_share_closes_idle_then_released_connections(
     pool: ConnectionSet,
 ) -> None:
-    busy = pool.take(owner=1)
+    busy = pool.acquire(owner=1)
     assert busy is not None
     assert len(pool.set_share(1)) == 1
     pool.set_share(0)
-    assert not pool.give_back(busy, 1, clean=True)
+    assert not pool.release(busy, 1, clean=True)
 
 
 @attrs.define
@@ -81,9 +81,9 @@
 
     def begin(self) -> None:
         for number in self.pool.to_open(waiting=1):
-            self.pool.ready(number)
+            self.pool.mark_idle(number)
         self.next_owner += 1
-        number = self.pool.take(self.next_owner)
+        number = self.pool.acquire(self.next_owner)
         if number is not None:
             assert number not in self.held.values()
             self.held[self.next_owner] = number
@@ -115,16 +115,16 @@
             owner = self.rng.choice([*self.held])
             number = self.held.pop(owner)
             clean = (number, owner) not in self.answers
-            if self.pool.give_back(number, owner, clean):
+            if self.pool.release(number, owner, clean):
                 self.resets.append(number)
             else:
-                self.pool.closed(number)
+                self.pool.remove(number)
 
     def reset(self) -> None:
         if self.resets:
             number = self.resets.pop()
             self.ran[number].clear()
-            self.pool.ready(number)
+            self.pool.mark_idle(number)
 
 
 STEPS = ("begin", "statement", "answer", "duplicate", "end", "reset")
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
@@ -12,7 +12,7 @@
 from jackdawcrank.execution.open_primary import OpenPrimary
 from jackdawcrank.execution.signal import Signal
 from jackdawcrank_policy.acknowledgement import Quorum
-from jackdawcrank_policy.budget import SEATS, BudgetLedger
+from jackdawcrank_policy.budget import QUOTA_COUNT, ConnectionBudget
 from jackdawcrank_policy.lease import LEASE_SECONDS, LeaseState, LeaseTable
 from jackdawcrank_policy.routing import RoutingTable
 from jackdawcrank_policy.values import (
@@ -98,7 +98,7 @@
         self.controls: dict[str, MysqlControl] = {}
         # Only a predecessor of the same name can have left connections.
         started_at = clock() if was_writer else -math.inf
-        self.ledger = BudgetLedger(self._budget(), started_at)
+        self.ledger = ConnectionBudget(self._budget(), started_at)
         self.term_changed = Signal()
         self.evidence_changed = Signal()
         self.failover_waiters = 0
@@ -430,8 +430,8 @@
         self.controls[server.name] = MysqlControl(endpoint)
 
     def _budget(self) -> int:
-        control = CONTROL_CONNECTIONS * SEATS * max(1, len(self.servers))
-        return max(SEATS, self.spec.connection_limit - control)
+        control = CONTROL_CONNECTIONS * QUOTA_COUNT * max(1, len(self.servers))
+        return max(QUOTA_COUNT, self.spec.connection_limit - control)
 
 
 def no_primary(detail: str) -> NotRun:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_context.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_context.py
@@ -10,7 +10,7 @@
 from jackdawcrank.groups.group_peers import GroupPeers
 from jackdawcrank.groups.group_store import GroupStore
 from jackdawcrank.timer import Timer
-from jackdawcrank_policy.budget import plan_seats
+from jackdawcrank_policy.budget import assign_quotas
 from jackdawcrank_policy.coordination import (
     RowHistory,
     acting_coordinator,
@@ -89,8 +89,8 @@
         return rank(self.vm, self.coordinator, self.homes)
 
     def next_writers(self) -> tuple[str, ...]:
-        """Return the writers, by seat, that the next row should have."""
-        return plan_seats(
+        """Return the writers, by quota, that the next row should have."""
+        return assign_quotas(
             self.row.writers if self.row else (),
             [home for home in self.homes if home in self.live],
             self.history.freed(self.timer.now()),
