--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of the proxies that hold a group's backend connections."""
+"""Selection of the proxies that hold a group's backend connections."""
 
 from jackdawcrank_policy.homes.home_index import HomeIndex
 from jackdawcrank_policy.homes.home_plan import (
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/group_ranking.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/group_ranking.py
@@ -1,22 +1,23 @@
-"""The best ranked VMs of one group."""
+"""Ranking of the VMs that may be homes of one group."""
 
 import heapq
 from collections.abc import Collection, Mapping
 
 from jackdawcrank_policy.homes.home_vms import key_weight
 
-# The order of one VM in its group; the smallest is the best.
+# A VM's sort key in its group: its negated weight and its name. The lowest key
+# ranks first.
 RankedVm = tuple[int, str]
 
 
 class GroupRanking:
-    """Keeps the best VMs of each data centre for one group.
+    """Keeps the highest-ranked VMs of each data centre for one group.
 
-    A VM outside the best `count` of its data centre cannot be a home, since
-    each of them comes before it.
+    Only the first `count` VMs of a data centre are kept. Any other VM there
+    ranks below all of them and cannot be a home.
 
     Attributes:
-      best: The best VMs by data centre, best first.
+      best: The highest-ranked VMs by data centre, best first.
       homes: The group's homes, best first.
     """
 
@@ -32,12 +33,14 @@
         joined: Mapping[str, Mapping[str, bytes]],
         members: Mapping[str, Mapping[str, bytes]],
     ) -> bool:
-        """Follow VMs that went and came; return whether the homes changed.
+        """Apply membership changes; return whether the homes changed.
 
         Args:
-          left: The names of the VMs that left each data centre.
-          joined: The VMs that joined each data centre, their names encoded.
-          members: All VMs of each data centre after the change.
+          left: The names of the VMs that left, by data centre.
+          joined: The encoded names of the VMs that joined, by data centre and
+            name.
+          members: The encoded names of all VMs after the change, by data
+            centre and name.
         """
         best_changed = False
         for data_center, names in left.items():
@@ -58,12 +61,12 @@
         names: Collection[str],
         members: Mapping[str, bytes],
     ) -> bool:
-        """Remove VMs of a data centre; return whether one was among the best.
+        """Remove VMs of a data centre; return whether one was in `best`.
 
         Args:
           data_center: The data centre.
-          names: The VMs that left it.
-          members: The VMs in it after the change.
+          names: The names of the VMs that left it.
+          members: The encoded names of the remaining VMs, by name.
         """
         best = self.best.get(data_center, [])
         if not any(vm in names for _, vm in best):
@@ -76,11 +79,11 @@
         return True
 
     def add(self, data_center: str, vms: Mapping[str, bytes]) -> bool:
-        """Take VMs of a data centre; return whether one is among the best.
+        """Add VMs of a data centre; return whether one is in `best` now.
 
         Args:
           data_center: The data centre.
-          vms: The VMs that joined it, their names encoded.
+          vms: The encoded names of the VMs that joined it, by name.
         """
         best = self.best.get(data_center, [])
         ranked_vms = self.ranked_vms(vms)
@@ -96,16 +99,16 @@
         return True
 
     def ranked_vms(self, vms: Mapping[str, bytes]) -> list[RankedVm]:
-        """Return the standing of each VM.
+        """Return the sort key of each VM.
 
         Args:
-          vms: The VMs' encoded names by name.
+          vms: The encoded names of the VMs, by name.
         """
         prefix = self.prefix
         return [(-key_weight(prefix + name), vm) for vm, name in vms.items()]
 
     def select_homes(self) -> tuple[str, ...]:
-        """Return the homes, each data centre's best before any second."""
+        """Return the homes, taking one VM of each data centre in turn."""
         candidates = [
             (local_rank, ranked_vm)
             for best in self.best.values()
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_index.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_index.py
@@ -1,4 +1,4 @@
-"""The homes of all groups, kept while VMs come and go."""
+"""Index of the homes of all groups, updated as VMs join and leave."""
 
 from collections.abc import Mapping
 
@@ -6,17 +6,17 @@
 
 
 class HomeIndex:
-    """Keeps the choice of `home_vms` for every group that was asked about.
+    """Maintains the result of `home_vms` for every group that was queried.
 
-    One VM that comes is ranked once for each group; one that goes is ranked
-    anew against its data centre by those groups only whose best it was
-    among.
+    A VM that joins is ranked once per group. When a VM leaves, only the groups
+    that had it among their best VMs rank the rest of its data centre again.
 
     Attributes:
-      count: How many homes a group has.
+      count: The number of homes per group.
       members: The data centre of each VM that may be a home.
-      vms_by_data_center: The VMs of each data centre, their names encoded.
-      rankings: The groups.
+      vms_by_data_center: The encoded names of the VMs, by data centre and
+        name.
+      rankings: The rankings of the tracked groups, by group.
     """
 
     def __init__(self, count: int) -> None:
@@ -29,7 +29,7 @@
         """Return a group's homes, best ranked first.
 
         Args:
-          group: The group's name; it is followed from now on.
+          group: The group's name; the index tracks it from now on.
         """
         ranking = self.rankings.get(group)
         if ranking is None:
@@ -39,7 +39,7 @@
         return ranking.homes
 
     def remove_group(self, group: str) -> None:
-        """Follow a group no more.
+        """Stop tracking a group.
 
         Args:
           group: The group's name.
@@ -47,7 +47,7 @@
         self.rankings.pop(group, None)
 
     def update(self, members: Mapping[str, str]) -> set[str]:
-        """Take the VMs; return the groups whose homes changed.
+        """Replace the known VMs; return the groups whose homes changed.
 
         Args:
           members: The data centre of each VM that may be a home.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_plan.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_plan.py
@@ -1,8 +1,8 @@
-"""How many homes a group has, and which.
+"""Number and selection of a group's homes.
 
-Answers the size of a deployment: with few VMs each one connects to every
-server; with many, each region has a few homes that share the servers' limits
-on connections, and the others forward to them.
+The number depends on the size of the deployment. With few VMs, every VM
+connects to every server. With many, each region has a few homes that share the
+servers' connection limits, and the other VMs forward statements to them.
 """
 
 from collections.abc import Iterable
@@ -12,28 +12,30 @@
 from jackdawcrank_policy.homes.home_vms import vm_weight
 from jackdawcrank_policy.homes.member import Member
 
-# With fewer connections than this to a server, transactions of one VM wait for
-# each other: on our users' sites a VM has up to two at a time, and a read.
+# With fewer connections to a server, transactions of one VM wait for each
+# other. On users' sites a VM runs up to two at a time, and a read.
 MIN_CONNECTIONS = 3
-# More than twice a server's slots (3 to 6) make no statement quicker; a
-# transaction holds one while its caller pauses.
+# Connections beyond twice a server's slots (3 to 6) make no statement faster.
+# There are more connections than slots because a transaction holds one while
+# its caller pauses.
 MAX_CONNECTIONS = 16
-# One home of a region may be lost or leave; more of them only split the
-# servers' slots into parts that cannot help each other out.
+# A region tolerates the loss or departure of one home. More homes only divide
+# the servers' slots into smaller shares that homes cannot lend to each other.
 HOMES_PER_REGION = 2
-# Before other VMs are known: 15 to 21 of them, and up to 6 that are added.
+# Assumed until the other VMs are known: 15 to 21 VMs, and up to 6 added later.
 EXPECTED_VMS = 24
 
 
 @attrs.frozen
 class HomePlan:
-    """How one group's connections are shared.
+    """The distribution of a group's connections over its homes.
 
     Attributes:
       on_every_vm: Whether every VM is a home.
-      per_region: Homes of a region, if not.
-      connections: Connections that one home may hold to one server.
-      homes: Homes in all regions together.
+      per_region: The number of homes per region; 0 if every VM is a home.
+      connections: The maximum number of connections from one home to one
+        server.
+      homes: The number of homes in all regions together.
     """
 
     on_every_vm: bool
@@ -43,12 +45,12 @@
 
 
 def plan_homes(limit: int, vms: int, regions: int) -> HomePlan:
-    """Return how a group's connections are shared.
+    """Return the distribution of a group's connections over its homes.
 
     Args:
-      limit: Connections that one server takes.
-      vms: VMs that may be homes; 0 while they are not known.
-      regions: Regions that they stand in.
+      limit: The number of connections that one server accepts.
+      vms: The number of VMs that may be homes; 0 if unknown.
+      regions: The number of regions that these VMs are in.
     """
     share = limit // (vms or EXPECTED_VMS)
     if share >= MIN_CONNECTIONS or not vms:
@@ -62,14 +64,14 @@
 def region_homes(
     group: str, members: Iterable[Member], count: int
 ) -> tuple[Member, ...]:
-    """Return a region's VMs in the order in which they are homes of a group.
+    """Return a group's homes in a region, best ranked first.
 
-    Larger VMs come first; among equals, rendezvous hashing decides.
+    VMs with more capacity rank first; rendezvous hashing orders equal ones.
 
     Args:
-      group: The group.
+      group: The group's name.
       members: The region's VMs.
-      count: How many homes there are.
+      count: The maximum number of homes.
     """
     ranked = sorted(
         members,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_vms.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/home_vms.py
@@ -15,13 +15,13 @@
 ) -> tuple[str, ...]:
     """Return the group's home VMs, best ranked first.
 
-    A VM that comes or goes changes the homes of those groups only for which
-    it ranks among the first.
+    A VM that joins or leaves changes only the homes of groups for which it
+    ranks among the first.
 
     Args:
       group: The group's name.
       live_vms: The names of the VMs that may be homes, in any order.
-      count: How many homes to choose; fewer if there are fewer VMs.
+      count: The maximum number of homes.
       data_centers: The data centre of each VM. If given, a data centre gets
         a second home only after every other one has its first.
     """
@@ -32,19 +32,19 @@
 
 
 def vm_weight(group: str, vm: str) -> int:
-    """Return the weight of a VM for a group."""
+    """Return the rendezvous weight of a VM for a group."""
     return key_weight(f"{group}\0{vm}".encode())
 
 
 def key_weight(key: bytes) -> int:
-    """Return the weight of a group's and a VM's names, joined by a zero."""
+    """Return the weight of a key: group and VM name, joined by a NUL."""
     return xxhash.xxh3_64_intdigest(key)
 
 
 def interleave_data_centers(
     ranked: list[str], data_centers: Mapping[str, str]
 ) -> list[str]:
-    """Return ranked VMs reordered so that data centres take turns."""
+    """Return ranked VMs reordered so that the data centres alternate."""
     used: dict[str, int] = {}
     round_order = []
     for index, vm in enumerate(ranked):
@@ -55,12 +55,13 @@
 
 
 def home_count(slots: int, servers: int, per_home: int) -> int:
-    """Return how many homes a group needs, one of them lost.
+    """Return how many homes a group needs to tolerate the loss of one.
 
     Args:
-      slots: Statements that one backend server runs at once.
-      servers: The group's backend servers.
-      per_home: Statements at once that one home should carry.
+      slots: The number of statements that one backend server runs at once.
+      servers: The number of the group's backend servers.
+      per_home: The number of concurrent statements that one home should
+        handle.
     """
     needed = -(-slots * servers // per_home)
     return max(MIN_HOMES, needed + 1)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/member.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/member.py
@@ -5,15 +5,15 @@
 
 @attrs.frozen
 class Member:
-    """A VM and where its proxy is reached by others.
+    """A VM that may be a home, and the address of its proxy.
 
     Attributes:
       vm: The VM's name.
-      host: Its address.
-      port: The port for other proxies.
-      data_center: Where it stands.
+      host: The address of its proxy.
+      port: The port that its proxy opens to other proxies.
+      data_center: The data centre that it runs in.
       region: The region of that data centre.
-      capacity: Cores that it may use.
+      capacity: The number of cores that it may use.
     """
 
     vm: str
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/watch_order.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/homes/watch_order.py
@@ -1,9 +1,9 @@
-"""Which VMs follow the store for others.
+"""Selection of the upstream VMs that relay store changes to a VM.
 
-Answers the size of a deployment: if every VM followed every table, calls to
-the store would grow as VMs times changes. A VM follows the store itself unless
-enough of the VMs above it in its region do and tell it so. The order is the
-same wherever it is worked out, so no two VMs rely on each other.
+If every VM watched every table, the number of calls to the store would grow
+with the product of VMs and changes. A VM therefore watches the store itself
+only if too few of the VMs ranked above it in its region report that they do.
+Every VM computes the same ranking, so no two VMs depend on each other.
 """
 
 from collections.abc import Iterable
@@ -11,21 +11,21 @@
 from jackdawcrank_policy.homes.home_plan import region_homes
 from jackdawcrank_policy.homes.member import Member
 
-# One VM may be cut off from the store without noticing for the length of a
-# call that waits for changes; two at a time seldom are.
+# A VM may lose the store without noticing for as long as a call that waits for
+# changes lasts; two VMs seldom do so at the same time.
 MIN_UPSTREAMS = 2
-# With more of them down than that, following the store is the quicker way.
+# If more upstream VMs than this are down, watching the store is faster.
 MAX_UPSTREAMS = 6
-# Any constant name: the order is per region, not per group.
+# Any constant, because the ranking is per region and not per group.
 RANKING_KEY = ""
 
 
 def upstream_vms(own: Member, members: Iterable[Member]) -> tuple[Member, ...]:
-    """Return the VMs of a region that come before one, the first first.
+    """Return the VMs ranked above a VM in its region, best ranked first.
 
     Args:
       own: The VM.
-      members: All VMs that are known.
+      members: All known VMs.
     """
     region_members = [
         member for member in members if member.region == own.region
--- a/packages/jackdawcrank-policy/tests/homes/test_home_index.py
+++ b/packages/jackdawcrank-policy/tests/homes/test_home_index.py
@@ -1,4 +1,4 @@
-"""Tests of the homes that are kept while VMs come and go."""
+"""Tests of the home index while VMs join and leave."""
 
 import hypothesis
 import hypothesis.strategies as st
--- a/packages/jackdawcrank-policy/tests/homes/test_home_vms.py
+++ b/packages/jackdawcrank-policy/tests/homes/test_home_vms.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of home proxies."""
+"""Tests of the selection of home VMs."""
 
 import collections
 
