--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which VMs are alive."""
+"""Detection of live VMs."""
 
 from jackdawcrank_policy.membership.evidence import Evidence
 from jackdawcrank_policy.membership.lease_reading import LeaseReading
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/evidence.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/evidence.py
@@ -1,4 +1,4 @@
-"""What one VM knows of another."""
+"""Evidence that one VM has on whether another is alive."""
 
 import attrs
 
@@ -12,21 +12,22 @@
 
 @attrs.define
 class Evidence:
-    """All that is known of one VM; times are on the observer's clock.
+    """Evidence on one VM; times are in seconds on the observer's clock.
 
     Attributes:
-      vm: The VM's address; None until it is known.
-      listed: Whether the platform's list names it.
-      leaving: Whether the list, the VM or its row says that it is leaving.
-      reading: The last reading of its lease row.
-      read_at: When that reading was made.
-      renewed_at: When the lease row was last seen to move.
-      seconds_without_renewal: For how long readings, close enough to each
-        other to rule out an outage between them, have shown no renewal.
-      last_message_at: When a stream last carried something from it.
-      streams_failed_at: Since when streams to it have failed; None if they
-        work.
-      boot: The id of its newest process that is known; empty if none is.
+      vm: The VM's address; None if unknown.
+      listed: Whether the platform's VM list contains it.
+      leaving: Whether the list, the VM or its lease row reports that it is
+        leaving.
+      reading: The latest reading of its lease row.
+      read_at: When that reading was taken.
+      renewed_at: When a reading last showed a renewal of its lease.
+      seconds_without_renewal: For how long readings have shown no renewal.
+        A long gap between two readings resets it, since there may have been
+        an outage in between.
+      last_message_at: When a stream last received a message from it.
+      streams_failed_at: When streams to it began to fail; None if they work.
+      boot: The id of its newest known process; empty if unknown.
     """
 
     vm: Vm | None = None
@@ -59,13 +60,13 @@
         self.leaving = self.leaving or reading.leaving
 
     def record_boot(self, boot: str) -> None:
-        """Record the id of the VM's process; a new one is not leaving."""
+        """Record the id of the VM's process; a new process is not leaving."""
         if self.boot and boot != self.boot:
             self.leaving = False
         self.boot = boot
 
     def record_message(self, now: float) -> None:
-        """Record that a stream carried something from the VM."""
+        """Record that a stream received a message from the VM."""
         self.last_message_at, self.streams_failed_at = now, None
 
     def record_stream_failure(self, now: float) -> None:
@@ -74,7 +75,7 @@
             self.streams_failed_at = now
 
     def has_recent_message(self, now: float) -> bool:
-        """Return whether a stream proves the VM alive."""
+        """Return whether a stream shows that the VM is alive."""
         if self.last_message_at is None or self.streams_failed_at is not None:
             return False
         return now - self.last_message_at <= MESSAGE_FRESH_SECONDS
@@ -88,17 +89,17 @@
         )
 
     def lease_expired(self) -> bool:
-        """Return whether readings prove that the VM stopped renewing."""
+        """Return whether readings show that the VM stopped renewing."""
         if self.reading is None:
             return False
         return self.seconds_without_renewal > self.reading.seconds
 
     def renewed_since(self, instant: float) -> bool:
-        """Return whether the row was seen to move after an instant."""
+        """Return whether a lease renewal was seen after an instant."""
         return self.renewed_at is not None and self.renewed_at > instant
 
     def alive(self, now: float) -> bool:
-        """Return whether the VM should be counted as living."""
+        """Return whether the VM counts as alive."""
         if self.has_recent_message(now):
             return True
         if self.lease_expired():
@@ -108,7 +109,7 @@
         return self.listed or self.renewed_at is not None
 
     def suspected(self, now: float) -> bool:
-        """Return whether streams have failed and no renewal speaks for it."""
+        """Return whether streams failed and no lease renewal followed."""
         if (
             self.streams_failed_at is None
             or now - self.streams_failed_at < SUSPICION_DELAY_SECONDS
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/lease_reading.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/lease_reading.py
@@ -10,9 +10,9 @@
     Attributes:
       vm: The VM's name.
       boot: The id of the process that wrote it.
-      counter: How often that process has renewed it.
-      seconds: The lease's length.
-      leaving: Whether the process has said that it is leaving.
+      counter: The number of times that process has renewed it.
+      seconds: The duration of the lease.
+      leaving: Whether the process has announced that it is leaving.
     """
 
     vm: str
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/membership.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/membership.py
@@ -1,4 +1,4 @@
-"""Combines the platform's VM list with leases and streams."""
+"""Combines the platform's VM list with evidence from leases and streams."""
 
 from collections.abc import Iterable
 
@@ -14,16 +14,17 @@
 
 @attrs.define
 class Membership:
-    """Decides which VMs are alive from evidence of three kinds.
+    """Decides which VMs are alive from the VM list, leases and streams.
 
-    The list lags, so a listed VM whose lease row stands still, or whose
-    streams fail while its row stands still, is left out; an unlisted VM
-    that renews its row or is heard on a stream is taken in. Without any
-    evidence the list decides, so a store outage removes nobody.
+    The list lags behind. A listed VM is therefore excluded if it stops
+    renewing its lease, or if its streams fail and no renewal follows. An
+    unlisted VM is included if it renews its lease or sends messages on a
+    stream. Without other evidence the list decides, so a store outage removes
+    no VM.
 
     Attributes:
-      own: The VM that this is; always part of its own view.
-      evidence: What is known of each other VM, by name.
+      own: This VM; always part of its own view.
+      evidence: The evidence on each VM, by name.
       leaving: Whether this VM itself is leaving.
     """
 
@@ -32,17 +33,17 @@
     leaving: bool = False
 
     def evidence_for(self, name: str) -> Evidence:
-        """Return the evidence on a VM, empty at first."""
+        """Return the evidence on a VM; add an empty record if there is none."""
         return self.evidence.setdefault(name, Evidence())
 
     def record_vm_list(self, vms: Iterable[Vm]) -> None:
-        """Take in the platform's list of VMs."""
+        """Record the platform's list of VMs."""
         by_name = {vm.name: vm for vm in vms}
         for name in self.evidence.keys() | by_name.keys():
             self.record_listing(name, by_name.get(name))
 
     def record_listing(self, name: str, vm: Vm | None) -> None:
-        """Record whether and how the list names a VM."""
+        """Record whether the list contains a VM, and in which state."""
         evidence = self.evidence_for(name)
         evidence.listed = vm is not None
         if vm is not None:
@@ -53,32 +54,32 @@
     def record_lease_row(
         self, reading: LeaseReading, vm: Vm | None, now: float
     ) -> None:
-        """Take in a VM's lease row.
+        """Record a VM's lease row.
 
         Args:
           reading: The row.
-          vm: The address that the row gives, if any.
-          now: The instant before the read was sent.
+          vm: The VM's address, if the row contains it.
+          now: The time before the read was sent.
         """
         evidence = self.evidence_for(reading.vm)
         evidence.record_lease(reading, now)
         evidence.vm = evidence.vm or vm
 
     def record_missing_lease_row(self, name: str) -> None:
-        """Take in that a VM has no lease row (it removed it on leaving)."""
+        """Record that a VM has no lease row; a leaving VM removes its row."""
         evidence = self.evidence_for(name)
         evidence.reading, evidence.renewed_at = None, None
 
     def record_message(
         self, name: str, vm: Vm | None, now: float, boot: str = ""
     ) -> None:
-        """Take in that a stream carried something from a VM.
+        """Record that a stream received a message from a VM.
 
         Args:
-          name: The VM.
-          vm: Its address, if the stream told it.
-          now: The present.
-          boot: The id of its process, if the stream told it.
+          name: The VM's name.
+          vm: Its address, if the stream reported it.
+          now: The current time.
+          boot: The id of its process, if the stream reported it.
         """
         evidence = self.evidence_for(name)
         evidence.record_message(now)
@@ -87,19 +88,19 @@
         evidence.vm = vm or evidence.vm
 
     def record_stream_failure(self, name: str, now: float) -> None:
-        """Take in that a stream to a VM broke or could not be opened."""
+        """Record that a stream to a VM broke or could not be opened."""
         self.evidence_for(name).record_stream_failure(now)
 
     def record_leaving(self, name: str) -> None:
-        """Take in that a VM says it is leaving."""
+        """Record that a VM announced that it is leaving."""
         self.evidence_for(name).leaving = True
 
     def suspects(self, now: float) -> tuple[str, ...]:
-        """Return the VMs whose lease rows should be read soon, in order.
+        """Return the VMs whose lease rows should be read soon, by name.
 
-        These are the VMs whose streams fail, those that are heard but whose
-        address is unknown, and leaving ones that are still heard, since a
-        new process may have taken their place.
+        These are VMs whose streams fail, VMs that send messages but whose
+        address is unknown, and leaving VMs that still send messages, since a
+        new process may have replaced the one that announced its leaving.
         """
         return tuple(
             sorted(
@@ -110,7 +111,7 @@
         )
 
     def view(self, now: float) -> MembershipView:
-        """Return the VMs that count as living at an instant."""
+        """Return the VMs that count as alive at an instant."""
         vms = {self.own.name: self.own}
         leaving = {self.own.name} if self.leaving else set()
         for name, evidence in self.evidence.items():
@@ -124,7 +125,7 @@
         return MembershipView(live, tuple(sorted(leaving)), vms)
 
     def remove_silent(self, now: float) -> None:
-        """Drop unlisted VMs that have given no sign of life for long."""
+        """Remove unlisted VMs that have been silent for too long."""
         for name, evidence in list(self.evidence.items()):
             last_seen_at = max(
                 evidence.last_message_at or 0.0, evidence.read_at
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/view.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/membership/view.py
@@ -1,4 +1,4 @@
-"""The VMs that one VM takes for living."""
+"""The VMs that one VM considers alive."""
 
 from collections.abc import Mapping
 
@@ -9,11 +9,11 @@
 
 @attrs.frozen
 class MembershipView:
-    """What one VM believes; the views of two VMs may differ.
+    """The live VMs as seen by one VM; the views of two VMs may differ.
 
     Attributes:
-      live: The names of the living VMs that are not leaving, in order.
-      leaving: The names of the living VMs that are leaving, in order.
+      live: The sorted names of the live VMs that are not leaving.
+      leaving: The sorted names of the live VMs that are leaving.
       vms: The addresses of both, by name.
     """
 
--- a/packages/jackdawcrank-policy/tests/membership/test_membership.py
+++ b/packages/jackdawcrank-policy/tests/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of membership from a list, leases and streams."""
+"""Tests of membership from the VM list, leases and streams."""
 
 import pytest
 from hypothesis import given
@@ -163,7 +163,7 @@
 def test_renewing_vm_is_never_excluded(
     periods: list[float], outages: list[bool]
 ) -> None:
-    """Reads may fail for as long as they like; the row moves all the time."""
+    """Lease reads may fail for any time while the VM keeps renewing."""
     membership = Membership(OWN)
     membership.record_vm_list([OWN, vm("vm-1")])
     now = 0.0
