--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration in force, by version."""
+"""The versioned configuration and the changes that produce it."""
 
 from jackdawcrank_policy.configuration.change import Change, Value
 from jackdawcrank_policy.configuration.configuration import Configuration
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/change.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/change.py
@@ -20,15 +20,17 @@
     """A committed change of one resource or of one group's row.
 
     Attributes:
-      version: The change's place in the single order of all changes.
-      kind: The kind of row, see `Kind`; kinds of newer releases are kept.
+      version: The change's sequence number in the total order of changes.
+      kind: The kind of row, see `Kind`; unknown kinds of newer releases are
+        kept.
       name: The row's name.
       deleted: Whether the row was removed.
-      value: The new row, typed; None if deleted or of an unknown kind.
-      document: The new row as it stands in the store.
+      value: The decoded new row; None if it was deleted, cannot be decoded or
+        is of an unknown kind.
+      document: The new row as stored.
       token: The writer's token, unique to the write.
       actor: Who made the change.
-      at: The writer's wall time, in seconds since the epoch.
+      at: The writer's wall clock time, in seconds since the epoch.
     """
 
     version: int
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/configuration.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that is in force at one version."""
+"""The configuration at one version."""
 
 from collections.abc import Mapping
 from typing import Any, TypeVar
@@ -26,7 +26,7 @@
 
 
 def replaced(rows: Mapping[Any, T], key: object, row: T | None) -> dict[Any, T]:
-    """Return a copy of rows in which one is replaced, or removed by None."""
+    """Return a copy of rows with one row replaced, or removed if None."""
     copy = dict(rows)
     if row is None:
         copy.pop(key, None)
@@ -37,14 +37,14 @@
 
 @attrs.frozen
 class Configuration:
-    """Everything that the change log says up to one version.
+    """The result of all changes in the change log up to one version.
 
     Attributes:
-      version: The version of the newest change that it holds.
+      version: The version of the newest change that it includes.
       groups: The declared database groups by name.
       servers: The declared backend servers by name.
       caller_classes: The declared classes of callers by name.
-      group_rows: The groups' terms, by the group's name.
+      group_rows: The groups' rows, which hold their terms, by group name.
       entries: Every row as stored, by kind and name.
     """
 
@@ -56,9 +56,9 @@
     entries: Mapping[tuple[str, str], Entry] = attrs.field(factory=dict)
 
     def with_change(self, change: Change) -> "Configuration":
-        """Return the configuration after its next change.
+        """Return the configuration with the next change applied.
 
-        A row that this release cannot read keeps its last readable value.
+        A row that this release cannot decode keeps its last decoded value.
         """
         key = (change.kind, change.name)
         update: dict[str, Any] = {
@@ -72,13 +72,13 @@
         return attrs.evolve(self, **update)
 
     def servers_of(self, group: str) -> tuple[ServerSpec, ...]:
-        """Return a group's servers in the order of their names."""
+        """Return a group's servers, sorted by name."""
         members = (s for s in self.servers.values() if s.group == group)
         return tuple(sorted(members, key=lambda server: server.name))
 
 
 def entry_of(change: Change) -> Entry | None:
-    """Return the entry that a change leaves behind; None if it deletes."""
+    """Return the entry that a change writes; None if it deletes the row."""
     if change.deleted:
         return None
     return Entry(change.document, change.version, change.actor, change.at)
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/entry.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/entry.py
@@ -1,4 +1,4 @@
-"""The newest change of one row."""
+"""A stored row of the configuration."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -8,13 +8,13 @@
 
 @attrs.frozen
 class Entry:
-    """A row of the configuration as it stands in the store.
+    """A row of the configuration as stored by its newest change.
 
     Attributes:
       document: The row's JSON value.
       version: The version of the change that wrote it.
       actor: Who made that change.
-      at: When, in seconds since the epoch by the writer's clock.
+      at: When it was made, in seconds since the epoch on the writer's clock.
     """
 
     document: Mapping[str, Any]
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/kind.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/kind.py
@@ -1,10 +1,10 @@
-"""The kinds of rows that the change log orders."""
+"""The kinds of rows in the change log."""
 
 import enum
 
 
 class Kind(enum.StrEnum):
-    """What a change is about."""
+    """The kind of row that a change applies to."""
 
     DATABASE_GROUP = "DatabaseGroup"
     BACKEND_SERVER = "BackendServer"
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/state.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/state.py
@@ -1,4 +1,4 @@
-"""Applies changes strictly in order."""
+"""The configuration in force, to which changes are applied in order."""
 
 import collections
 import dataclasses
@@ -13,10 +13,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Applied:
-    """The change is in force now.
+    """The change or snapshot is now in force.
 
     Attributes:
-      configuration: The configuration that holds it.
+      configuration: The configuration that includes it.
     """
 
     configuration: Configuration
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class MissingChanges:
-    """Changes before this one are missing; nothing was applied.
+    """Earlier changes are missing; nothing was applied.
 
     Attributes:
       first_missing: The version of the first missing change.
@@ -35,17 +35,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class AlreadyApplied:
-    """The change, or a newer state, is already in force."""
+    """The change or snapshot, or a newer version, is already in force."""
 
 
 @attrs.define
 class ConfigurationState:
-    """The configuration in force, which only ever moves forward.
+    """The configuration in force, whose version never decreases.
 
     Attributes:
       current: The configuration in force.
-      recent: The newest changes that were applied, oldest first, without
-        gaps up to the current version.
+      recent: The most recently applied changes, oldest first, without gaps
+        up to the current version.
     """
 
     current: Configuration = attrs.field(factory=Configuration)
@@ -73,7 +73,7 @@
     def install_snapshot(
         self, snapshot: Configuration
     ) -> Applied | AlreadyApplied:
-        """Replace the configuration by a newer snapshot."""
+        """Replace the configuration with a newer snapshot."""
         if snapshot.version <= self.version:
             return AlreadyApplied()
         self.current = snapshot
@@ -81,7 +81,7 @@
         return Applied(snapshot)
 
     def changes_after(self, version: int) -> tuple[Change, ...] | None:
-        """Return the changes above a version; None if some are forgotten."""
+        """Return the changes after a version; None if some were discarded."""
         if version >= self.version:
             return ()
         if not self.recent or self.recent[0].version > version + 1:
--- a/packages/jackdawcrank-policy/tests/configuration/test_state.py
+++ b/packages/jackdawcrank-policy/tests/configuration/test_state.py
@@ -1,4 +1,4 @@
-"""Tests that configuration only moves forward."""
+"""Tests that changes are applied in order and the version never drops."""
 
 import pytest
 from hypothesis import given
