--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/__init__.py
@@ -1,4 +1,4 @@
-"""What operators declared and servers reported, in one picture."""
+"""Databases and groups that operators declare, and reported servers."""
 
 from jackdawcrank_policy.catalog.consistency import Consistency
 from jackdawcrank_policy.catalog.database_spec import DatabaseSpec
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/database_spec.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/database_spec.py
@@ -1,4 +1,4 @@
-"""The declaration of a database that callers name."""
+"""The declaration of a database that callers connect to."""
 
 import attrs
 
@@ -7,18 +7,20 @@
 
 @attrs.frozen
 class DatabaseSpec:
-    """A database, the group that serves it and what its callers were promised.
+    """A database, the group that serves it and its guarantees to callers.
 
-    Several databases may be served by one group.
+    One group may serve several databases.
 
     Attributes:
-      name: What callers name on connecting.
+      name: The name that callers give when they connect.
       group: The group of backend servers that serves it.
-      consistency: How fresh its reads are.
-      max_age_seconds: The greatest age of a read; 0 for primary consistency.
-      statement_timeout_seconds: The longest time of one statement.
-      latency_objective_seconds: The latency that an operation should keep.
-      priority: 0 goes first.
+      consistency: The consistency level of its reads.
+      max_age_seconds: The maximum age of the data that a read returns; 0 for
+        primary consistency.
+      statement_timeout_seconds: The maximum duration of one statement.
+      latency_objective_seconds: The latency that an operation should not
+        exceed.
+      priority: Its priority; 0 is served first.
     """
 
     name: str
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/declarations.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/declarations.py
@@ -10,14 +10,14 @@
 
 @attrs.frozen
 class Declarations:
-    """What operators declared.
+    """The databases and groups that operators declared.
 
     Attributes:
-      version: Grows with each accepted configuration.
+      version: The version; increases with each accepted configuration.
       databases: The databases by name.
       groups: The groups by name.
-      idle_transaction_seconds: A transaction without a statement for this
-        long may be rolled back.
+      idle_transaction_seconds: The time without a statement after which a
+        transaction may be rolled back.
     """
 
     version: int
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/listed_server.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/listed_server.py
@@ -1,25 +1,25 @@
-"""A backend server as it last reported itself."""
+"""The latest report of a backend server."""
 
 import attrs
 
 
 @attrs.frozen
 class ListedServer:
-    """One incarnation of a backend server.
+    """A process of a backend server, as it last reported itself.
 
     Attributes:
-      server_id: Its name, which no other server has.
+      server_id: Its unique name.
       group: The group that it belongs to.
-      host: Where it listens.
+      host: The host that it listens on.
       port: The port that it listens on.
-      data_center: Where it stands.
-      slots: Statements that it runs at once.
-      leaving: Whether it takes no new work because it is shutting down.
-      reports_primary: Whether it takes itself for the primary.
-      started_at_ms: Its start, Unix milliseconds by its own clock; tells two
-        incarnations with one name apart.
-      revision: The store's version of the report; a later report has a
-        greater one.
+      data_center: The data centre that it runs in.
+      slots: The number of statements that it runs at once.
+      leaving: Whether it accepts no new work because it is shutting down.
+      reports_primary: Whether it reports that it is the primary.
+      started_at_ms: Its start time in Unix milliseconds on its own clock;
+        distinguishes processes with the same name.
+      revision: The store's revision of the report; a later report has a
+        higher one.
     """
 
     server_id: str
@@ -34,7 +34,7 @@
     revision: int
 
     def same_process(self, other: "ListedServer") -> bool:
-        """Return whether two reports come from one running process.
+        """Return whether two reports come from the same process.
 
         Args:
           other: Another report.
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/served_group.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/catalog/served_group.py
@@ -5,14 +5,14 @@
 
 @attrs.frozen
 class ServedGroup:
-    """A primary and its replicas.
+    """A group that consists of a primary and its replicas.
 
     Attributes:
       name: The group's name.
-      connection_limit: Connections that one of its servers accepts from all
-        proxies together.
-      confirming_replicas: Replicas that have received a commit before the
-        primary acknowledges it.
+      connection_limit: The number of connections that each of its servers
+        accepts from all proxies together.
+      confirming_replicas: The number of replicas that must receive a commit
+        before the primary acknowledges it.
     """
 
     name: str
