--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/__init__.py
@@ -1,4 +1,4 @@
-"""The split of a group's connections over its home proxies."""
+"""Division of a group's connection limit among its home proxies."""
 
 from jackdawcrank_policy.budget.connection_budget import (
     STALE_CONNECTION_SECONDS,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/connection_budget.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/connection_budget.py
@@ -13,22 +13,22 @@
 
 @attrs.define
 class ConnectionBudget:
-    """The seats of a group as one VM has applied them.
+    """The connection quotas of a group as one VM has applied them.
 
-    A VM uses the share of the seat that the newest row it has applied gives
-    it, and none if it has none. The first row that a process applies is read
-    from the store after the process began, so that it never uses a seat that
-    its VM had lost by then. A process that has just begun uses none for a
-    while, since one that ran before it under the VM's name may have left
-    connections behind.
+    A VM uses the quota that the newest row it has applied assigns to it, or no
+    connections if that row assigns none. The first row that a process applies
+    is read from the store after the process started, so the process never uses
+    a quota that its VM had lost by then. A process uses no connections for a
+    while after its start, since an earlier process under the same VM name may
+    have left connections open.
 
     Attributes:
-      limit: Connections that the whole group accepts.
-      started_at: When this process began.
-      stale_connection_seconds: Seconds for which a dead process's
-        connections may stay open.
-      version: The change log's version of the newest row applied.
-      writers: That row's writers, by seat.
+      limit: The number of connections that the whole group accepts.
+      started_at: When this process started, in seconds.
+      stale_connection_seconds: How long the connections of a process that
+        has ended may stay open.
+      version: The change log version of the newest row applied.
+      writers: That row's writers, by quota.
     """
 
     limit: int
@@ -38,11 +38,11 @@
     writers: tuple[str, ...] = ()
 
     def apply(self, writers: tuple[str, ...], version: int, now: float) -> None:
-        """Take over a row; one older than the newest is ignored.
+        """Apply a row; ignore it unless it is newer than the last one.
 
         Args:
-          writers: The row's writers, by seat.
-          version: The change log's version that wrote it.
+          writers: The row's writers, by quota.
+          version: The change log version at which the row was written.
           now: The current time.
         """
         if version <= self.version:
@@ -60,7 +60,7 @@
         return self.owned_share(vm, self.limit, now)
 
     def server_share(self, vm: str, servers: int, now: float) -> int:
-        """Return how many of them one of the group's servers may have.
+        """Return how many connections a VM may have open to each server.
 
         Args:
           vm: The VM's name.
@@ -70,10 +70,10 @@
         return self.owned_share(vm, self.limit // max(1, servers), now)
 
     def may_release(self, vm: str, now: float) -> bool:
-        """Return whether a VM may give up its seat in the applied row.
+        """Return whether a VM may release its quota in the applied row.
 
-        The VM closes its connections first, then tells the coordinator,
-        with `version`.
+        The VM first closes its connections and then reports the release, with
+        `version`, to the coordinator.
 
         Args:
           vm: The VM's name.
@@ -84,7 +84,7 @@
         )
 
     def owned_share(self, vm: str, limit: int, now: float) -> int:
-        """Return a VM's part of some connections."""
+        """Return a VM's share of a number of connections."""
         if (
             not self.stale_connections_closed(now)
             or vm not in self.writers[:QUOTA_COUNT]
@@ -93,5 +93,5 @@
         return quota_size(limit, self.writers.index(vm))
 
     def stale_connections_closed(self, now: float) -> bool:
-        """Return whether connections of an earlier process have run out."""
+        """Return whether an earlier process can have no connections left."""
         return now >= self.started_at + self.stale_connection_seconds
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/connection_set.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/connection_set.py
@@ -6,7 +6,7 @@
 
 
 class ConnectionState(enum.StrEnum):
-    """What a connection is used for."""
+    """The state of a connection."""
 
     OPENING = "opening"
     IDLE = "idle"
@@ -17,11 +17,11 @@
 
 @attrs.define
 class Connection:
-    """One connection.
+    """A connection to a backend server.
 
     Attributes:
-      state: What it is used for.
-      owner: The transaction that has it while it is busy.
+      state: Its state.
+      owner: The number of the transaction that holds it while it is busy.
     """
 
     state: ConnectionState = ConnectionState.OPENING
@@ -32,13 +32,14 @@
 class ConnectionSet:
     """Decides which connections to open, use, reset and close.
 
-    A connection has one owner at a time and is reset between owners. One
-    that timed out, broke or gave an unexpected answer is closed and never
-    used again. It counts until it is closed, so the share is never passed.
+    A connection has one owner at a time and is reset between owners. A
+    connection that timed out, broke or returned an unexpected response is
+    closed and never reused. It counts as open until it is closed, so the share
+    is never exceeded.
 
     Attributes:
-      share: How many connections may be open.
-      warm: Idle connections to keep ahead of need.
+      share: The maximum number of open connections.
+      warm: The number of idle connections to keep in reserve.
       connections: The open connections by number.
       last_number: The number of the newest connection.
     """
@@ -56,10 +57,10 @@
         )
 
     def to_open(self, waiting: int = 0) -> list[int]:
-        """Return the numbers of connections that have to be opened now.
+        """Return the numbers of connections that must be opened now.
 
         Args:
-          waiting: Transactions that wait for a connection.
+          waiting: The number of transactions that wait for a connection.
         """
         ready = sum(
             self.count(state)
@@ -81,13 +82,13 @@
         return self.last_number
 
     def mark_idle(self, number: int) -> bool:
-        """Make a connection idle that was opened or reset.
+        """Mark a connection as idle after it was opened or reset.
 
         Args:
           number: The connection's number.
 
         Returns:
-          Whether it may be used; if not, it has to be closed.
+          Whether it may be used; if not, it must be closed.
         """
         connection = self.connections[number]
         if connection.state is ConnectionState.CLOSING:
@@ -97,10 +98,10 @@
         return True
 
     def acquire(self, owner: int) -> int | None:
-        """Give an idle connection to a transaction; None if there is none.
+        """Assign an idle connection to a transaction; None if there is none.
 
-        The one that was idle for the shortest time is taken, so that the
-        others can be closed when there are too many.
+        The most recently opened connection is used first, so that the others
+        can be closed when there are too many.
 
         Args:
           owner: The transaction's number.
@@ -113,11 +114,11 @@
         return None
 
     def owns(self, number: int, owner: int) -> bool:
-        """Return whether an answer on a connection is for a transaction.
+        """Return whether a response on a connection is for a transaction.
 
         Args:
-          number: The connection on which the answer came.
-          owner: The transaction whose statement was sent.
+          number: The number of the connection that received the response.
+          owner: The number of the transaction that sent the statement.
         """
         connection = self.connections.get(number)
         if connection is None or connection.state is not ConnectionState.BUSY:
@@ -130,11 +131,11 @@
         Args:
           number: The connection's number.
           owner: The transaction's number.
-          clean: Whether every statement was answered as expected.
+          clean: Whether every statement got the expected response.
 
         Returns:
-          Whether to reset it and then call `mark_idle`; if not, it has to be
-          closed.
+          Whether to reset it and then call `mark_idle`. If not, it must be
+          closed, unless another transaction holds it.
         """
         if not self.owns(number, owner):
             return False
@@ -145,25 +146,25 @@
         return True
 
     def excess(self) -> int:
-        """Return how many connections above the share are not closing."""
+        """Return how many connections that are not closing exceed the share."""
         closing = self.count(ConnectionState.CLOSING)
         return len(self.connections) - closing - self.share
 
     def mark_closing(self, number: int) -> None:
-        """Mark a connection that has to be closed."""
+        """Mark a connection that must be closed."""
         self.connections[number].state = ConnectionState.CLOSING
 
     def remove(self, number: int) -> None:
-        """Drop a connection that is closed."""
+        """Remove a connection that was closed."""
         self.connections.pop(number, None)
 
     def set_share(self, share: int) -> list[int]:
-        """Follow a new share; return the idle connections to close.
+        """Change the share; return the idle connections to close.
 
-        Busy ones above the share are closed when they are given back.
+        Busy connections above the share are closed when they are released.
 
         Args:
-          share: How many connections may be open.
+          share: The maximum number of open connections.
         """
         self.share = share
         idle = [
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/quotas.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/quotas.py
@@ -1,13 +1,13 @@
-"""Fixed seats that share a group's connection limit.
-
-A group's row lists its writers by seat. Each seat has a fixed share of the
-limit, whatever the number of writers, and an owner: a VM, or a departed VM
-that may still have connections open. A seat passes from a departed VM to
-another only after the departed one released it, or after its process ended or
-was found ended while the row called it departed, and its connections have run
-out. So at any moment, whichever version of the row each VM has applied, a
-seat's connections belong to one VM, and the sum over the seats never passes
-the limit.
+"""Fixed quotas that divide a group's connection limit.
+
+A group's row lists its writers by quota. Each quota is a fixed share of the
+limit, whatever the number of writers, and has an owner: a VM, or a departed VM
+that may still have connections open. A quota passes from a departed VM to
+another in one of two cases: the departed VM released it, or its process ended,
+or was found to have ended, while the row marked it as departed, and its
+connections have expired. So at any time, whichever version of the row each VM
+has applied, the connections of a quota belong to one VM, and the sum over the
+quotas never exceeds the limit.
 """
 
 from collections.abc import Collection, Sequence
@@ -17,12 +17,12 @@
 
 
 def quota_size(limit: int, quota: int, quota_count: int = QUOTA_COUNT) -> int:
-    """Return the connections of one seat; all seats together have `limit`.
+    """Return the size of one quota; all quotas add up to `limit`.
 
     Args:
-      limit: The connections to split.
-      quota: The seat's number, from 0.
-      quota_count: The number of seats.
+      limit: The number of connections to divide.
+      quota: The index of the quota, from 0.
+      quota_count: The number of quotas.
     """
     if not 0 <= quota < quota_count:
         return 0
@@ -30,7 +30,7 @@
 
 
 def writer_names(writers: Sequence[str]) -> tuple[str, ...]:
-    """Return the VMs of a row's writers, without the departed ones."""
+    """Return a row's writers without the departed VMs."""
     return tuple(
         writer
         for writer in writers
@@ -39,7 +39,7 @@
 
 
 def departed_vms(writers: Sequence[str]) -> tuple[str, ...]:
-    """Return the departed VMs whose seats are not free yet."""
+    """Return the departed VMs that still own a quota."""
     with_prefix = (
         writer for writer in writers if writer.startswith(DEPARTED_PREFIX)
     )
@@ -52,17 +52,17 @@
     released: Collection[str],
     quota_count: int = QUOTA_COUNT,
 ) -> tuple[str, ...]:
-    """Return the writers of the next row, each VM in a seat of its own.
+    """Return the writers of the next row, with one quota per VM.
 
-    A VM keeps its seat. A VM that is not wanted any more stays on its seat
-    as departed. Newcomers get free seats; those who find none wait.
+    A VM keeps its quota. A VM that is no longer wanted keeps it as a departed
+    VM. New VMs get free quotas; if there are too few, the others get none yet.
 
     Args:
-      writers: The writers of the present row, by seat.
+      writers: The writers of the current row, by quota.
       wanted: The VMs that should be writers, best ranked first.
-      released: The departed VMs that released their seats, or that are proved
-        to be gone and whose connections have run out.
-      quota_count: The number of seats.
+      released: The departed VMs that released their quotas, or that are known
+        to have ended and whose connections have expired.
+      quota_count: The number of quotas.
     """
     owners = [*writers, *[""] * (quota_count - len(writers))]
     owners = [quota_owner(owner, wanted, released) for owner in owners]
@@ -76,7 +76,7 @@
 def quota_owner(
     owner: str, wanted: Sequence[str], released: Collection[str]
 ) -> str:
-    """Return who owns a seat once unwanted VMs have left."""
+    """Return the owner of a quota after unwanted VMs have departed."""
     name = owner.removeprefix(DEPARTED_PREFIX)
     if name in wanted or not name:
         return name
--- a/packages/jackdawcrank-policy/tests/budget/test_connection_set.py
+++ b/packages/jackdawcrank-policy/tests/budget/test_connection_set.py
@@ -1,4 +1,4 @@
-"""Tests of the use of backend connections."""
+"""Tests of the connections to one backend server."""
 
 import collections
 import random
@@ -66,7 +66,7 @@
 
 @attrs.define
 class Bench:
-    """Transactions on fake connections whose answers come in any order."""
+    """Transactions on fake connections with responses in any order."""
 
     rng: random.Random
     pool: ConnectionSet = attrs.Factory(lambda: ConnectionSet(3, 2))
--- a/packages/jackdawcrank-policy/tests/budget/test_quotas.py
+++ b/packages/jackdawcrank-policy/tests/budget/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tests of the seats that share a connection limit."""
+"""Tests of the quotas that divide a connection limit."""
 
 import random
 
@@ -78,7 +78,7 @@
 
 @attrs.define
 class Cluster:
-    """The committed rows, VMs that lag behind them, and what was freed."""
+    """Committed rows, VMs that apply them late, and released quotas."""
 
     limit: int
     rng: random.Random
