--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/state.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/configuration/state.py
@@ -1,4 +1,4 @@
-"""Applies changes strictly in order."""
+"""The configuration in force, to which changes are applied in order."""
 
 import collections
 import dataclasses
@@ -13,39 +13,39 @@
 
 @dataclasses.dataclass(frozen=True)
 class Applied:
-    """The change is in force now.
+    """The change or snapshot is now in force.
 
     Attributes:
-      configuration: The configuration that holds it.
+      configuration: The configuration that includes it.
     """
 
     configuration: Configuration
 
 
 @dataclasses.dataclass(frozen=True)
-class Gap:
-    """Changes before this one are missing; nothing was applied.
+class MissingChanges:
+    """Earlier changes are missing; nothing was applied.
 
     Attributes:
-      missing_from: The version of the first missing change.
+      first_missing: The version of the first missing change.
     """
 
-    missing_from: int
+    first_missing: int
 
 
 @dataclasses.dataclass(frozen=True)
-class Old:
-    """The change, or a newer state, is already in force."""
+class AlreadyApplied:
+    """The change or snapshot, or a newer version, is already in force."""
 
 
 @attrs.define
 class ConfigurationState:
-    """The configuration in force, which only ever moves forward.
+    """The configuration in force, whose version never decreases.
 
     Attributes:
       current: The configuration in force.
-      recent: The newest changes that were applied, oldest first, without
-        gaps up to the current version.
+      recent: The most recently applied changes, oldest first, without gaps
+        up to the current version.
     """
 
     current: Configuration = attrs.field(factory=Configuration)
@@ -58,26 +58,30 @@
         """Return the version in force."""
         return self.current.version
 
-    def apply(self, change: Change) -> Applied | Gap | Old:
+    def apply(
+        self, change: Change
+    ) -> Applied | MissingChanges | AlreadyApplied:
         """Apply a change if it is the next one."""
         if change.version <= self.version:
-            return Old()
+            return AlreadyApplied()
         if change.version > self.version + 1:
-            return Gap(self.version + 1)
+            return MissingChanges(self.version + 1)
         self.current = self.current.with_change(change)
         self.recent.append(change)
         return Applied(self.current)
 
-    def adopt(self, snapshot: Configuration) -> Applied | Old:
-        """Replace the configuration by a newer snapshot."""
+    def install_snapshot(
+        self, snapshot: Configuration
+    ) -> Applied | AlreadyApplied:
+        """Replace the configuration with a newer snapshot."""
         if snapshot.version <= self.version:
-            return Old()
+            return AlreadyApplied()
         self.current = snapshot
         self.recent.clear()
         return Applied(snapshot)
 
     def changes_after(self, version: int) -> tuple[Change, ...] | None:
-        """Return the changes above a version; None if some are forgotten."""
+        """Return the changes after a version; None if some were discarded."""
         if version >= self.version:
             return ()
         if not self.recent or self.recent[0].version > version + 1:
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/plan.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/promotion/plan.py
@@ -38,7 +38,7 @@
       cause: The reason for claiming the term.
       expected: The group's row, or None for a group without one.
       servers: The group's backend servers.
-      writers: The writers of the new term, by seat.
+      writers: The writers of the new term, by quota.
       target: The server that a switch-over moves to.
       avoid: Servers that rank last among equally advanced ones.
       highest_term: The highest fence term that a server has reported.
