--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/timeline.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/timeline.py
@@ -17,7 +17,7 @@
 from jackdawcrank_cli.exit_codes import ExitCode
 from jackdawcrank_cli.failure import CommandFailed
 from jackdawcrank_wire.events import (
-    BadEvent,
+    MalformedEvent,
     TimelineEvent,
     from_json_line,
     merge_events,
@@ -220,7 +220,7 @@
 def add_event(events: list[TimelineEvent], line: str) -> None:
     """Add the event on a line, if it is one."""
     event = from_json_line(line)
-    if not isinstance(event, BadEvent):
+    if not isinstance(event, MalformedEvent):
         events.append(event)
 
 
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/__init__.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/__init__.py
@@ -2,7 +2,7 @@
 
 from jackdawcrank_wire.events.event_kind import EventKind
 from jackdawcrank_wire.events.json_lines import (
-    BadEvent,
+    MalformedEvent,
     event_from_dict,
     event_to_dict,
     from_json_line,
@@ -13,7 +13,7 @@
 from jackdawcrank_wire.events.trace_events import to_trace_events
 
 __all__ = [
-    "BadEvent",
+    "MalformedEvent",
     "EventKind",
     "TimelineEvent",
     "event_from_dict",
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/json_lines.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/json_lines.py
@@ -11,13 +11,13 @@
 from jackdawcrank_wire.events.timeline_event import TimelineEvent
 
 TEXT_FIELDS = ("vm", "boot", "kind", "group", "request_id")
-COUNT_FIELDS = ("sequence", "term")
+INTEGER_FIELDS = ("sequence", "term")
 TIME_FIELDS = ("monotonic", "wall")
-KINDS: dict[str, EventKind] = {str(kind): kind for kind in EventKind}
+KINDS_BY_NAME: dict[str, EventKind] = {str(kind): kind for kind in EventKind}
 
 
 @dataclasses.dataclass(frozen=True)
-class BadEvent:
+class MalformedEvent:
     """Says why a line is no event.
 
     Attributes:
@@ -39,29 +39,29 @@
     }
 
 
-def event_from_dict(fields: object) -> TimelineEvent | BadEvent:
+def event_from_dict(fields: object) -> TimelineEvent | MalformedEvent:
     """Return the event that plain values describe.
 
     Args:
       fields: What JSON held, of any shape.
     """
     if not isinstance(fields, dict):
-        return BadEvent("not a JSON object")
-    for name, kind in expected_types():
-        if type(fields.get(name)) not in kind:
-            return BadEvent(f"{name} is missing or of a wrong type")
+        return MalformedEvent("not a JSON object")
+    for name, accepted_types in expected_types():
+        if type(fields.get(name)) not in accepted_types:
+            return MalformedEvent(f"{name} is missing or of a wrong type")
     detail = fields["detail"]
     if not all(isinstance(value, str) for value in detail.values()):
-        return BadEvent("detail holds a value that is not text")
-    known = {name: fields[name] for name, _ in expected_types()}
-    return TimelineEvent(**known | {"kind": parse_kind(fields["kind"])})
+        return MalformedEvent("detail holds a value that is not text")
+    field_values = {name: fields[name] for name, _ in expected_types()}
+    return TimelineEvent(**field_values | {"kind": parse_kind(fields["kind"])})
 
 
 def expected_types() -> list[tuple[str, tuple[type, ...]]]:
     """Return each field of an event with the types that it may have."""
     return [
         *((name, (str,)) for name in TEXT_FIELDS),
-        *((name, (int,)) for name in COUNT_FIELDS),
+        *((name, (int,)) for name in INTEGER_FIELDS),
         *((name, (int, float)) for name in TIME_FIELDS),
         ("detail", (dict,)),
     ]
@@ -73,7 +73,7 @@
     Args:
       text: The kind's name.
     """
-    return KINDS.get(text, text)
+    return KINDS_BY_NAME.get(text, text)
 
 
 def to_json_lines(events: collections.abc.Iterable[TimelineEvent]) -> str:
@@ -88,7 +88,7 @@
     )
 
 
-def from_json_line(line: str) -> TimelineEvent | BadEvent:
+def from_json_line(line: str) -> TimelineEvent | MalformedEvent:
     """Return the event that a line holds.
 
     Args:
@@ -97,5 +97,5 @@
     try:
         fields = json.loads(line)
     except (ValueError, RecursionError):
-        return BadEvent("not JSON")
+        return MalformedEvent("not JSON")
     return event_from_dict(fields)
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/merge.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/merge.py
@@ -9,14 +9,14 @@
 from jackdawcrank_wire.events.timeline_event import TimelineEvent
 
 MAX_CLOCK_SKEW_SECONDS = 2.0
-JUST_AFTER_SECONDS = 1e-6
+MIN_EVENT_SPACING_SECONDS = 1e-6
 MAX_PASSES = 5
 CONFIG_VERSION_DETAIL = "config_version"
 APPLIED_VERSION_DETAIL = "version"
 
 Stream = list[TimelineEvent]
 Times = list[list[float]]
-Place = tuple[int, int]
+EventIndex = tuple[int, int]
 
 
 def merge_events(
@@ -71,60 +71,69 @@
     Args:
       streams: Each process's events by sequence.
     """
-    counters = find_counters(streams)
+    counters = index_by_counter(streams)
     times = [[event.wall for event in stream] for stream in streams]
     for _ in range(MAX_PASSES):
-        times = [list(itertools.accumulate(walls, max)) for walls in times]
+        times = [
+            list(itertools.accumulate(wall_times, max)) for wall_times in times
+        ]
         moved = [
-            move_behind_lower(counter, times) for counter in counters.values()
+            move_after_lower_values(counter, times)
+            for counter in counters.values()
         ]
         if not any(moved):
             break
-    return [list(itertools.accumulate(walls, max)) for walls in times]
+    return [list(itertools.accumulate(wall_times, max)) for wall_times in times]
 
 
-def find_counters(streams: list[Stream]) -> dict[str, dict[int, list[Place]]]:
+def index_by_counter(
+    streams: list[Stream],
+) -> dict[str, dict[int, list[EventIndex]]]:
     """Return the places of events by the counters and values they name.
 
     Args:
       streams: Each process's events by sequence.
     """
-    counters: dict[str, dict[int, list[Place]]]
+    counters: dict[str, dict[int, list[EventIndex]]]
     counters = collections.defaultdict(lambda: collections.defaultdict(list))
     for number, stream in enumerate(streams):
         for index, event in enumerate(stream):
-            for name, value in hints(event):
+            for name, value in ordering_counters(event):
                 counters[name][value].append((number, index))
     return counters
 
 
-def move_behind_lower(
-    places_by_value: dict[int, list[Place]], times: Times
+def move_after_lower_values(
+    indexes_by_value: dict[int, list[EventIndex]], times: Times
 ) -> bool:
     """Move events behind those with lower values of one counter.
 
     Args:
-      places_by_value: The places of events by the counter's value.
+      indexes_by_value: The places of events by the counter's value.
       times: Each event's time; changed in place.
 
     Returns:
       Whether any event was moved.
     """
     moved = False
-    lower: list[float] = []
-    for _, places in sorted(places_by_value.items()):
-        for number, index in places:
-            own = times[number][index]
-            reach = bisect.bisect_right(lower, own + MAX_CLOCK_SKEW_SECONDS)
-            if reach and lower[reach - 1] >= own:
-                times[number][index] = lower[reach - 1] + JUST_AFTER_SECONDS
+    lower_times: list[float] = []
+    for _, indexes in sorted(indexes_by_value.items()):
+        for number, index in indexes:
+            event_time = times[number][index]
+            lower_count = bisect.bisect_right(
+                lower_times, event_time + MAX_CLOCK_SKEW_SECONDS
+            )
+            if lower_count and lower_times[lower_count - 1] >= event_time:
+                times[number][index] = (
+                    lower_times[lower_count - 1] + MIN_EVENT_SPACING_SECONDS
+                )
                 moved = True
-        for number, index in places:
-            bisect.insort(lower, times[number][index])
+        for number, index in indexes:
+            bisect.insort(lower_times, times[number][index])
     return moved
 
 
-def hints(event: TimelineEvent) -> list[tuple[str, int]]:
+def ordering_counters(event: TimelineEvent) -> list[tuple[str, int]]:
     """Return the counters that order an event against other VMs' events.
 
     Args:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/trace_events.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/trace_events.py
@@ -7,7 +7,7 @@
 from jackdawcrank_wire.events.timeline_event import TimelineEvent
 
 MICROSECONDS_PER_SECOND = 1_000_000
-NO_GROUP_ROW = "proxy"
+NO_GROUP_THREAD = "proxy"
 PROMOTION_START = "promotion_started"
 PROMOTION_ENDS = ("promotion_finished", "promotion_abandoned")
 
@@ -24,15 +24,15 @@
     Args:
       events: The events, merged into one order.
     """
-    rows = TraceRows()
+    trace_ids = TraceIds()
     entries: list[Entry] = []
     for event in events:
-        entries.append(instant(event, rows))
-        entries.extend(span(event, rows))
-    return json.dumps({"traceEvents": rows.names() + entries})
+        entries.append(instant_entry(event, trace_ids))
+        entries.extend(span_entries(event, trace_ids))
+    return json.dumps({"traceEvents": trace_ids.metadata_entries() + entries})
 
 
-class TraceRows:
+class TraceIds:
     """Numbers of processes, threads and spans in a trace."""
 
     def __init__(self) -> None:
@@ -40,15 +40,15 @@
         self.processes: dict[str, int] = {}
         self.threads: dict[tuple[str, str], int] = {}
 
-    def place(self, event: TimelineEvent) -> Entry:
+    def process_and_thread(self, event: TimelineEvent) -> Entry:
         """Return the process and thread of an event.
 
         Args:
           event: The event.
         """
         pid = self.processes.setdefault(event.vm, len(self.processes) + 1)
-        row = (event.vm, event.group or NO_GROUP_ROW)
-        tid = self.threads.setdefault(row, len(self.threads) + 1)
+        thread = (event.vm, event.group or NO_GROUP_THREAD)
+        tid = self.threads.setdefault(thread, len(self.threads) + 1)
         return {"pid": pid, "tid": tid}
 
     def begin_span(self, event: TimelineEvent) -> str:
@@ -69,11 +69,16 @@
         """
         return self.open_spans.pop((event.vm, event.group), None)
 
-    def names(self) -> list[Entry]:
+    def metadata_entries(self) -> list[Entry]:
         """Return the entries that name processes and threads."""
         processes: list[Entry] = [
-            {"ph": "M", "name": "process_name", "pid": pid, "args": {"name": v}}
-            for v, pid in self.processes.items()
+            {
+                "ph": "M",
+                "name": "process_name",
+                "pid": pid,
+                "args": {"name": vm_name},
+            }
+            for vm_name, pid in self.processes.items()
         ]
         threads: list[Entry] = [
             {
@@ -81,26 +86,26 @@
                 "name": "thread_name",
                 "pid": self.processes[vm],
                 "tid": tid,
-                "args": {"name": row},
+                "args": {"name": thread},
             }
-            for (vm, row), tid in self.threads.items()
+            for (vm, thread), tid in self.threads.items()
         ]
         return processes + threads
 
 
-def instant(event: TimelineEvent, rows: TraceRows) -> Entry:
+def instant_entry(event: TimelineEvent, trace_ids: TraceIds) -> Entry:
     """Return an event as an instant of the trace.
 
     Args:
       event: The event.
-      rows: Where processes and threads are numbered.
+      trace_ids: Where processes and threads are numbered.
     """
     return {
         "name": str(event.kind),
         "ph": "i",
         "s": "t",
         "ts": round(event.wall * MICROSECONDS_PER_SECOND),
-        **rows.place(event),
+        **trace_ids.process_and_thread(event),
         "args": {
             "boot": event.boot,
             "sequence": event.sequence,
@@ -111,18 +116,18 @@
     }
 
 
-def span(event: TimelineEvent, rows: TraceRows) -> list[Entry]:
+def span_entries(event: TimelineEvent, trace_ids: TraceIds) -> list[Entry]:
     """Return the entry that opens or closes a promotion's span, if any.
 
     Args:
       event: The event.
-      rows: Where processes and threads are numbered.
+      trace_ids: Where processes and threads are numbered.
     """
     phase, span_id = "", None
     if event.kind == PROMOTION_START:
-        phase, span_id = "b", rows.begin_span(event)
+        phase, span_id = "b", trace_ids.begin_span(event)
     elif event.kind in PROMOTION_ENDS:
-        phase, span_id = "e", rows.end_span(event)
+        phase, span_id = "e", trace_ids.end_span(event)
     if span_id is None:
         return []
     return [
@@ -132,6 +137,6 @@
             "ph": phase,
             "id": span_id,
             "ts": round(event.wall * MICROSECONDS_PER_SECOND),
-            **rows.place(event),
+            **trace_ids.process_and_thread(event),
         }
     ]
--- a/packages/jackdawcrank-wire/tests/events/conftest.py
+++ b/packages/jackdawcrank-wire/tests/events/conftest.py
@@ -4,11 +4,11 @@
 
 from jackdawcrank_wire.events import EventKind, TimelineEvent
 
-EventMaker = collections.abc.Callable[..., TimelineEvent]
+EventFactory = collections.abc.Callable[..., TimelineEvent]
 
 
 @pytest.fixture
-def make_event() -> EventMaker:
+def make_event() -> EventFactory:
     def make(
         vm: str,
         sequence: int,
--- a/packages/jackdawcrank-wire/tests/events/test_json_lines.py
+++ b/packages/jackdawcrank-wire/tests/events/test_json_lines.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from jackdawcrank_wire.events import (
-    BadEvent,
     EventKind,
+    MalformedEvent,
     TimelineEvent,
     event_from_dict,
     event_to_dict,
@@ -17,10 +17,10 @@
     to_json_lines,
 )
 
-EventMaker = collections.abc.Callable[..., TimelineEvent]
+EventFactory = collections.abc.Callable[..., TimelineEvent]
 
 
-def test_events_survive_a_round_trip(make_event: EventMaker) -> None:
+def test_events_survive_a_round_trip(make_event: EventFactory) -> None:
     events = [
         make_event("a", 1, 1.5, EventKind.LEASE_LOST, "soil", 3, reason="x"),
         make_event("b", 2, 2.5),
@@ -29,18 +29,18 @@
     assert [from_json_line(line) for line in lines] == events
 
 
-def test_a_kind_of_a_newer_version_is_kept(make_event: EventMaker) -> None:
+def test_a_kind_of_a_newer_version_is_kept(make_event: EventFactory) -> None:
     event = make_event("a", 1, 1.0, "kind_of_tomorrow")
     assert event_from_dict(event_to_dict(event)) == event
 
 
 @pytest.mark.parametrize("field", ["vm", "sequence", "wall", "detail"])
-def test_a_missing_field_is_named(make_event: EventMaker, field: str) -> None:
+def test_a_missing_field_is_named(make_event: EventFactory, field: str) -> None:
     fields = event_to_dict(make_event("a", 1, 1.0))
     del fields[field]
-    bad = event_from_dict(fields)
-    assert isinstance(bad, BadEvent)
-    assert field in bad.detail
+    malformed = event_from_dict(fields)
+    assert isinstance(malformed, MalformedEvent)
+    assert field in malformed.detail
 
 
 @given(
@@ -50,5 +50,5 @@
         lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     ).map(json.dumps)
 )
-def test_garbage_is_a_bad_event(line: str) -> None:
-    assert isinstance(from_json_line(line), BadEvent)
+def test_garbage_is_a_malformed_event(line: str) -> None:
+    assert isinstance(from_json_line(line), MalformedEvent)
--- a/packages/jackdawcrank-wire/tests/events/test_merge.py
+++ b/packages/jackdawcrank-wire/tests/events/test_merge.py
@@ -9,28 +9,28 @@
 
 from jackdawcrank_wire.events import EventKind, TimelineEvent, merge_events
 
-EventMaker = collections.abc.Callable[..., TimelineEvent]
+EventFactory = collections.abc.Callable[..., TimelineEvent]
 
 
 def names(events: list[TimelineEvent]) -> list[str]:
     return [f"{event.vm}{event.sequence}" for event in events]
 
 
-def test_wall_clocks_decide_without_hints(make_event: EventMaker) -> None:
+def test_wall_clocks_decide_without_counters(make_event: EventFactory) -> None:
     events = [make_event("a", 1, 1.0), make_event("b", 1, 2.0)]
     events += [make_event("a", 2, 3.0), make_event("b", 2, 2.5)]
     assert names(merge_events(events)) == ["a1", "b1", "b2", "a2"]
 
 
-def test_sequence_beats_a_clock_that_was_set_back(
-    make_event: EventMaker,
+def test_sequence_takes_precedence_over_a_clock_set_back(
+    make_event: EventFactory,
 ) -> None:
     events = [make_event("a", 2, 1.0), make_event("a", 1, 5.0)]
     assert names(merge_events(events)) == ["a1", "a2"]
 
 
 def test_a_lower_term_comes_first_where_clocks_differ(
-    make_event: EventMaker,
+    make_event: EventFactory,
 ) -> None:
     events = [
         make_event("fast", 1, 11.5, group="soil", term=4),
@@ -41,8 +41,8 @@
     assert names(merge_events(events)) == ["third1", "fast1", "slow1", "slow2"]
 
 
-def test_a_vm_that_lags_behind_is_left_where_it_was(
-    make_event: EventMaker,
+def test_an_event_beyond_the_clock_skew_is_not_moved(
+    make_event: EventFactory,
 ) -> None:
     events = [
         make_event("b", 1, 10.0, group="soil", term=5),
@@ -52,7 +52,7 @@
 
 
 def test_moving_one_event_moves_those_that_depend_on_it(
-    make_event: EventMaker,
+    make_event: EventFactory,
 ) -> None:
     events = [
         make_event("a", 1, 11.5, group="soil", term=4),
@@ -71,7 +71,7 @@
     ],
 )
 def test_a_lower_configuration_comes_first(
-    make_event: EventMaker, kind: EventKind, detail: str
+    make_event: EventFactory, kind: EventKind, detail: str
 ) -> None:
     events = [
         make_event("b", 1, 1.0, kind, **{detail: "8"}),
@@ -80,8 +80,8 @@
     assert names(merge_events(events)) == ["a1", "b1"]
 
 
-def test_hints_that_contradict_each_other_end(
-    make_event: EventMaker,
+def test_contradicting_counters_terminate(
+    make_event: EventFactory,
 ) -> None:
     events = [
         make_event("a", 1, 1.0, group="soil", term=2),
@@ -92,8 +92,8 @@
     assert sorted(names(merge_events(events))) == ["a1", "a2", "b1", "b2"]
 
 
-def test_an_event_that_came_twice_appears_once(
-    make_event: EventMaker,
+def test_a_duplicate_event_appears_once(
+    make_event: EventFactory,
 ) -> None:
     event = make_event("a", 1, 1.0)
     assert merge_events([event, event]) == [event]
--- a/packages/jackdawcrank-wire/tests/events/test_trace_events.py
+++ b/packages/jackdawcrank-wire/tests/events/test_trace_events.py
@@ -5,11 +5,11 @@
 
 from jackdawcrank_wire.events import EventKind, TimelineEvent, to_trace_events
 
-EventMaker = collections.abc.Callable[..., TimelineEvent]
+EventFactory = collections.abc.Callable[..., TimelineEvent]
 
 
 def test_vms_are_processes_and_groups_are_threads(
-    make_event: EventMaker,
+    make_event: EventFactory,
 ) -> None:
     events = [
         make_event("a", 1, 1.0, EventKind.VM_STARTED),
@@ -29,7 +29,7 @@
     assert instants[1]["args"]["reason"] == "x"
 
 
-def test_a_promotion_is_a_span(make_event: EventMaker) -> None:
+def test_a_promotion_is_a_span(make_event: EventFactory) -> None:
     started = EventKind.PROMOTION_STARTED
     events = [
         make_event("a", 1, 0.5, EventKind.PROMOTION_ABANDONED, "soil", 3),
