--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/plan.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/plan.py
@@ -9,7 +9,7 @@
 from jackdawcrank_cli.client import Client
 from jackdawcrank_cli.declared import Declared
 from jackdawcrank_policy.configuration import RESOURCE_KINDS
-from jackdawcrank_wire.resources import plain
+from jackdawcrank_wire.resources import to_json_value
 
 
 class Action(enum.StrEnum):
@@ -94,7 +94,7 @@
     kind, name = item.key
     if present is None:
         return Step(Action.CREATE, kind, name, 0, item)
-    found = differences(present["spec"], plain(item.resource.spec))
+    found = differences(present["spec"], to_json_value(item.resource.spec))
     action = Action.CHANGE if found else Action.NONE
     version = present["resourceVersion"]
     pinned = item.resource.resource_version
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/documents.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/documents.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from jackdawcrank_policy.configuration import Change, Entry, Kind
-from jackdawcrank_wire.resources import API_VERSION, plain, stored_spec
+from jackdawcrank_wire.resources import API_VERSION, stored_spec, to_json_value
 
 
 def resource_view(
@@ -31,7 +31,7 @@
     A row that an older release wrote lacks newer keys.
     """
     known_spec = stored_spec(Kind(kind), spec)
-    defaults = plain(known_spec) if known_spec is not None else {}
+    defaults = to_json_value(known_spec) if known_spec is not None else {}
     return {**defaults, **spec}
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/resource_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/resource_handlers.py
@@ -31,7 +31,7 @@
     BackendServerSpec,
     Invalid,
     Resource,
-    known_kind,
+    kind_from_name,
     parse_resource,
 )
 
@@ -137,6 +137,6 @@
 
 def identity(request: web.Request) -> tuple[Kind, str]:
     """Return the kind and name in a request's path."""
-    kind = known_kind(request.match_info["kind"])
+    kind = kind_from_name(request.match_info["kind"])
     assert kind is not None, "the route admits only known kinds"
     return kind, request.match_info["name"]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/writes.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/writes.py
@@ -29,7 +29,7 @@
 from jackdawcrank_wire.resources import (
     BackendServerSpec,
     Resource,
-    plain,
+    to_json_value,
 )
 
 IN_FORCE_HERE_SECONDS = 2.0
@@ -184,7 +184,7 @@
 
 def row_body(resource: Resource) -> dict[str, Any]:
     """Return the row of a resource, without its version."""
-    return {"spec": plain(resource.spec)}
+    return {"spec": to_json_value(resource.spec)}
 
 
 def missing_reference(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_codec.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_codec.py
@@ -5,7 +5,7 @@
 
 from jackdawcrank.store.group_row_codec import decode_group_row
 from jackdawcrank_policy.configuration import Change, Kind, Value
-from jackdawcrank_wire.resources import stored_value
+from jackdawcrank_wire.resources import stored_policy_value
 
 KEY_DIGITS = 12
 
@@ -60,4 +60,4 @@
     """Return the value that a row stands for; None if it can't be read."""
     if kind == Kind.GROUP_ROW:
         return decode_group_row(document)
-    return stored_value(kind, name, document)
+    return stored_policy_value(kind, name, document)
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/converter.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/converter.py
@@ -24,8 +24,8 @@
 }
 RESULT_NUMBERS = {cls: number for number, cls in RESULT_TYPES.items()}
 
-Unstructure = collections.abc.Callable[[typing.Any], typing.Any]
-Structure = collections.abc.Callable[[typing.Any, typing.Any], typing.Any]
+UnstructureHook = collections.abc.Callable[[typing.Any], typing.Any]
+StructureHook = collections.abc.Callable[[typing.Any, typing.Any], typing.Any]
 
 
 def build_converter(*, bytes_as_text: bool = False) -> cattrs.Converter:
@@ -47,10 +47,10 @@
     else:
         register_rows(converter)
     converter.register_structure_hook_factory(
-        attrs.has, lambda cls: make_structure(cls, converter)
+        attrs.has, lambda cls: make_structure_hook(cls, converter)
     )
     converter.register_unstructure_hook_factory(
-        attrs.has, lambda cls: make_unstructure(cls, converter)
+        attrs.has, lambda cls: make_unstructure_hook(cls, converter)
     )
     register_results(converter)
     return converter
@@ -157,7 +157,9 @@
     return value
 
 
-def make_structure(cls: type, converter: cattrs.Converter) -> Structure:
+def make_structure_hook(
+    cls: type, converter: cattrs.Converter
+) -> StructureHook:
     """Return a function that builds an attrs class from a list.
 
     Args:
@@ -177,7 +179,9 @@
     return structure
 
 
-def make_unstructure(cls: type, converter: cattrs.Converter) -> Unstructure:
+def make_unstructure_hook(
+    cls: type, converter: cattrs.Converter
+) -> UnstructureHook:
     """Return a function that turns an attrs class into a list.
 
     Args:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/convert.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/convert.py
@@ -38,6 +38,8 @@
 
 
 @policy_value.register
-def class_value(spec: CallerClassSpec, name: str) -> values.CallerClassSpec:
+def caller_class_value(
+    spec: CallerClassSpec, name: str
+) -> values.CallerClassSpec:
     """Return the policy's value of a class of callers."""
     return values.CallerClassSpec(name=name, **attrs.asdict(spec))
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/converter.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/converter.py
@@ -18,34 +18,34 @@
 TYPE_NAMES = {str: "a string", int: "a whole number", bool: "true or false"}
 
 
-class WrongType(ValueError):
+class WrongTypeError(ValueError):
     """A value is not of its key's type."""
 
 
-def exactly(value: Any, wanted: type[Any]) -> Any:
+def structure_exact(value: Any, expected_type: type[Any]) -> Any:
     """Return a value that has exactly the wanted type.
 
     Raises:
-      WrongType: It has another type.
+      WrongTypeError: It has another type.
     """
-    if type(value) is not wanted:
-        raise WrongType(f"must be {TYPE_NAMES[wanted]}")
+    if type(value) is not expected_type:
+        raise WrongTypeError(f"must be {TYPE_NAMES[expected_type]}")
     return value
 
 
-def optional_int(value: Any, _: Any) -> Any:
+def structure_optional_int(value: Any, _: Any) -> Any:
     """Return a whole number or None."""
-    return None if value is None else exactly(value, int)
+    return None if value is None else structure_exact(value, int)
 
 
-def strings(value: Any, _: Any) -> tuple[str, ...]:
+def structure_strings(value: Any, _: Any) -> tuple[str, ...]:
     """Return a list of strings as a tuple."""
     if not isinstance(value, list | tuple):
-        raise WrongType("must be a list of strings")
-    return tuple(exactly(item, str) for item in value)
+        raise WrongTypeError("must be a list of strings")
+    return tuple(structure_exact(item, str) for item in value)
 
 
-def new_converter(strict: bool) -> cattrs.Converter:
+def build_spec_converter(strict: bool) -> cattrs.Converter:
     """Return a converter between specs and JSON values.
 
     Args:
@@ -54,19 +54,19 @@
     """
     converter = cattrs.Converter(detailed_validation=True)
     for primitive in TYPE_NAMES:
-        converter.register_structure_hook(primitive, exactly)
+        converter.register_structure_hook(primitive, structure_exact)
     converter.register_structure_hook_func(
-        lambda annotation: annotation == int | None, optional_int
+        lambda annotation: annotation == int | None, structure_optional_int
     )
     converter.register_structure_hook_func(
-        lambda annotation: annotation == tuple[str, ...], strings
+        lambda annotation: annotation == tuple[str, ...], structure_strings
     )
     for declared in DECLARED_CLASSES:
-        add_hooks(converter, declared, strict)
+        register_hooks(converter, declared, strict)
     return converter
 
 
-def add_hooks(
+def register_hooks(
     converter: cattrs.Converter, declared: type[Any], strict: bool
 ) -> None:
     """Teach a converter the JSON keys of a declared class."""
@@ -85,11 +85,11 @@
     converter.register_unstructure_hook(declared, unstructure)
 
 
-STRICT = new_converter(strict=True)
-LENIENT = new_converter(strict=False)
+STRICT = build_spec_converter(strict=True)
+LENIENT = build_spec_converter(strict=False)
 
 
-def plain(spec: Any) -> dict[str, Any]:
+def to_json_value(spec: Any) -> dict[str, Any]:
     """Return a spec's JSON value with every key."""
     value = STRICT.unstructure(spec)
     return {
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/openapi.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/openapi.py
@@ -7,7 +7,7 @@
 from jackdawcrank_wire.resources.schema import Schema, resource_schema
 
 TITLE = "jackdawcrank resource API"
-ERROR_MEANINGS = {
+ERROR_DESCRIPTIONS = {
     "400": "The request is malformed.",
     "401": "The bearer token is missing or wrong.",
     "404": "There is no such thing.",
@@ -50,7 +50,7 @@
     if_match = parameter(
         "If-Match", "header", "string", "The resource version to change."
     )
-    none_match = parameter(
+    if_none_match = parameter(
         "If-None-Match", "header", "string", "`*`: create only."
     )
     item = {"$ref": f"#/components/schemas/{kind}"}
@@ -65,7 +65,7 @@
                     f"Create or change a {kind}. Repeating it is harmless.",
                     {"type": "object"},
                     "400 409 412 413 422 503",
-                    [name, if_match, none_match],
+                    [name, if_match, if_none_match],
                 ),
                 "requestBody": {"required": True, "content": content(item)},
             },
@@ -82,10 +82,10 @@
 def other_paths() -> dict[str, Any]:
     """Return the paths that are not about one kind."""
     name = parameter("name", "path", "string", "A name.")
-    anything = {"type": "object"}
+    any_object = {"type": "object"}
     promote = operation(
         "Promote a server of a group; the body may name it as `server`.",
-        anything,
+        any_object,
         "404 409",
         [name],
     )
@@ -94,23 +94,23 @@
     return {
         "/v1/watch": {"get": watch_operation()},
         "/v1/timeline": {"get": timeline_operation()},
-        "/v1/status": {"get": operation("State of this VM.", anything)},
+        "/v1/status": {"get": operation("State of this VM.", any_object)},
         "/v1/ready": {
             "get": {
-                **operation("Whether to send callers here.", anything, "503"),
+                **operation("Whether to send callers here.", any_object, "503"),
                 "security": [],
             }
         },
         "/v1/groups/{name}/promote": {"post": promote},
         "/v1/vms/{name}/drain": {
             "post": operation(
-                "Shut a VM down gracefully.", anything, "404 409 503", [name]
+                "Shut a VM down gracefully.", any_object, "404 409 503", [name]
             )
         },
         "/v1/servers/{name}/drain": {
             "post": operation(
                 "Declare a backend server as leaving.",
-                anything,
+                any_object,
                 "404 412 503",
                 [name],
             )
@@ -118,12 +118,12 @@
         "/v1/requests/{group}/{id}": {
             "get": operation(
                 "What became of a caller's request.",
-                anything,
+                any_object,
                 "404",
                 [group, request_id],
             )
         },
-        "/v1/openapi.json": {"get": operation("This page.", anything)},
+        "/v1/openapi.json": {"get": operation("This page.", any_object)},
     }
 
 
@@ -187,7 +187,7 @@
     }
     for status in ["401", *errors.split()]:
         responses[status] = {
-            "description": ERROR_MEANINGS[status],
+            "description": ERROR_DESCRIPTIONS[status],
             "content": content({"$ref": "#/components/schemas/Error"}),
         }
     found: Schema = {"summary": summary, "responses": responses}
@@ -196,12 +196,12 @@
     return found
 
 
-def parameter(name: str, place: str, kind: str, help_text: str) -> Schema:
+def parameter(name: str, location: str, kind: str, help_text: str) -> Schema:
     """Return one parameter."""
     return {
         "name": name,
-        "in": place,
-        "required": place == "path",
+        "in": location,
+        "required": location == "path",
         "description": help_text,
         "schema": {"type": kind},
     }
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/parse.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/parse.py
@@ -3,11 +3,11 @@
 from typing import Any
 
 from jackdawcrank_policy.configuration import RESOURCE_KINDS, Kind
-from jackdawcrank_wire.resources.converter import plain
+from jackdawcrank_wire.resources.converter import to_json_value
 from jackdawcrank_wire.resources.metadata import API_VERSION, Metadata
 from jackdawcrank_wire.resources.problem import Invalid, Problem
 from jackdawcrank_wire.resources.resource import SPEC_CLASSES, Resource
-from jackdawcrank_wire.resources.validate import structured
+from jackdawcrank_wire.resources.validate import structure_validated
 
 KNOWN_KEYS = (
     "apiVersion",
@@ -27,15 +27,19 @@
     """
     if not isinstance(document, dict):
         return Invalid((Problem("$", "must be an object", document),))
-    outer = outer_problems(document)
-    kind = known_kind(document.get("kind"))
+    outer = document_problems(document)
+    kind = kind_from_name(document.get("kind"))
     if kind is None:
         names = ", ".join(RESOURCE_KINDS)
         message = f"must be one of {names}"
-        wrong = Problem("kind", message, document.get("kind"))
-        return Invalid((*outer, wrong))
-    metadata = structured(document.get("metadata", {}), Metadata, "metadata")
-    spec = structured(document.get("spec", {}), SPEC_CLASSES[kind], "spec")
+        unknown_kind = Problem("kind", message, document.get("kind"))
+        return Invalid((*outer, unknown_kind))
+    metadata = structure_validated(
+        document.get("metadata", {}), Metadata, "metadata"
+    )
+    spec = structure_validated(
+        document.get("spec", {}), SPEC_CLASSES[kind], "spec"
+    )
     parts = (p for p in (metadata, spec) if isinstance(p, Invalid))
     inner = tuple(problem for part in parts for problem in part.problems)
     if outer or isinstance(metadata, Invalid) or isinstance(spec, Invalid):
@@ -44,7 +48,7 @@
     return Resource(kind, metadata, spec, {}, version)
 
 
-def outer_problems(document: dict[str, Any]) -> tuple[Problem, ...]:
+def document_problems(document: dict[str, Any]) -> tuple[Problem, ...]:
     """Return what is wrong with a document's own keys."""
     found = [
         Problem(name, "is not a known key")
@@ -62,7 +66,7 @@
     return tuple(found)
 
 
-def known_kind(name: Any) -> Kind | None:
+def kind_from_name(name: Any) -> Kind | None:
     """Return the resource kind of a name; None if there is none."""
     return next((kind for kind in RESOURCE_KINDS if kind == name), None)
 
@@ -72,8 +76,8 @@
     document: dict[str, Any] = {
         "apiVersion": API_VERSION,
         "kind": str(resource.kind),
-        "metadata": plain(resource.metadata),
-        "spec": plain(resource.spec),
+        "metadata": to_json_value(resource.metadata),
+        "spec": to_json_value(resource.spec),
     }
     if resource.status:
         document["status"] = dict(resource.status)
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/schema.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/schema.py
@@ -12,14 +12,14 @@
 
 Schema = dict[str, Any]
 
-TYPES: dict[Any, Schema] = {
+TYPE_SCHEMAS: dict[Any, Schema] = {
     str: {"type": "string"},
     int: {"type": "integer"},
     bool: {"type": "boolean"},
     int | None: {"type": ["integer", "null"]},
     tuple[str, ...]: {"type": "array", "items": {"type": "string"}},
 }
-KEYWORDS = (
+SCHEMA_KEYWORDS = (
     ("minimum", "minimum"),
     ("maximum", "maximum"),
     ("pattern", "pattern"),
@@ -76,10 +76,10 @@
 def key_schema(field: "attrs.Attribute[Any]", annotation: Any) -> Schema:
     """Return the JSON schema of one key."""
     schema: Schema = {
-        **TYPES[annotation],
+        **TYPE_SCHEMAS[annotation],
         "description": field.metadata["help"],
     }
-    for name, keyword in KEYWORDS:
+    for name, keyword in SCHEMA_KEYWORDS:
         bound = field.metadata[name]
         if bound not in (None, ()):
             schema[keyword] = list(bound) if name == "choices" else bound
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/stored.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/stored.py
@@ -8,7 +8,7 @@
 from jackdawcrank_policy.configuration import Kind
 from jackdawcrank_wire.resources.convert import PolicyValue, policy_value
 from jackdawcrank_wire.resources.converter import LENIENT
-from jackdawcrank_wire.resources.parse import known_kind
+from jackdawcrank_wire.resources.parse import kind_from_name
 from jackdawcrank_wire.resources.resource import SPEC_CLASSES, Spec
 
 
@@ -21,7 +21,7 @@
     return found
 
 
-def stored_value(
+def stored_policy_value(
     kind: str, name: str, document: Mapping[str, Any]
 ) -> PolicyValue | None:
     """Return the policy's value of a stored resource.
@@ -33,10 +33,10 @@
       name: Its name.
       document: Its row, with the key `spec`.
     """
-    known = known_kind(kind)
-    if known is None:
+    resource_kind = kind_from_name(kind)
+    if resource_kind is None:
         return None
-    spec = stored_spec(known, document.get("spec"))
+    spec = stored_spec(resource_kind, document.get("spec"))
     if spec is None:
         return None
     try:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/validate.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/validate.py
@@ -18,7 +18,9 @@
 T = TypeVar("T")
 
 
-def structured(value: Any, declared: type[T], path: str) -> T | Invalid:
+def structure_validated(
+    value: Any, declared: type[T], path: str
+) -> T | Invalid:
     """Return an instance of a declared class, or what is wrong.
 
     Args:
@@ -31,12 +33,12 @@
     try:
         instance = STRICT.structure(value, declared)
     except ClassValidationError as error:
-        return Invalid(tuple(problems(error, value, path)))
-    outside = tuple(bound_problems(instance, path))
-    return Invalid(outside) if outside else instance
+        return Invalid(tuple(conversion_problems(error, value, path)))
+    out_of_bounds = tuple(bound_problems(instance, path))
+    return Invalid(out_of_bounds) if out_of_bounds else instance
 
 
-def problems(
+def conversion_problems(
     error: ClassValidationError, value: dict[str, Any], path: str
 ) -> Iterator[Problem]:
     """Yield a problem for each error that cattrs collected."""
@@ -45,14 +47,14 @@
             for name in sorted(inner.extra_fields):
                 yield Problem(f"{path}.{name}", "is not a known key")
             continue
-        name = camel_case(attribute_of(inner))
+        name = camel_case(attribute_name(inner))
         if name not in value:
             yield Problem(f"{path}.{name}", "is required")
         else:
             yield Problem(f"{path}.{name}", str(inner), value[name])
 
 
-def attribute_of(error: BaseException) -> str:
+def attribute_name(error: BaseException) -> str:
     """Return the attribute that an error of cattrs is about."""
     for note in getattr(error, "__notes__", ()):
         if isinstance(note, AttributeValidationNote):
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/explain.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/explain.py
@@ -18,7 +18,7 @@
     for field in setting_fields():
         kind = _type_name(types[field.name])
         default = _default_text(field)
-        meaning = _meaning(field)
+        meaning = _description(field)
         lines.append(f"| `{field.name}` | {kind} | {default} | {meaning} |")
     return "\n".join(lines) + "\n"
 
@@ -37,7 +37,7 @@
     return f"`{field.default!r}`".replace("'", '"')
 
 
-def _meaning(field: "attrs.Attribute[Any]") -> str:
+def _description(field: "attrs.Attribute[Any]") -> str:
     rules = field.metadata
     text = str(rules["help"])
     if rules["choices"]:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/loader.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/loader.py
@@ -27,7 +27,7 @@
         return "\n".join(f"{self.source}: {error}" for error in self.errors)
 
 
-class _WrongValue(Exception):
+class _InvalidValueError(Exception):
     """A value does not fit its key."""
 
 
@@ -57,10 +57,12 @@
         return SettingsErrors(source, (f"is not JSON: {error}",))
     if not isinstance(document, dict):
         return SettingsErrors(source, ("is not a JSON object",))
-    return _check(document, source)
+    return _validate(document, source)
 
 
-def _check(document: dict[str, Any], source: str) -> Settings | SettingsErrors:
+def _validate(
+    document: dict[str, Any], source: str
+) -> Settings | SettingsErrors:
     fields = {field.name: field for field in setting_fields()}
     types = typing.get_type_hints(Settings)
     errors = [f"{name}: unknown key" for name in document if name not in fields]
@@ -73,54 +75,56 @@
         try:
             values[name] = _convert(document[name], types[name])
             _check_bounds(values[name], field)
-        except _WrongValue as error:
+        except _InvalidValueError as error:
             errors.append(f"{name}: {error}")
     if errors:
         return SettingsErrors(source, tuple(errors))
     return Settings(**values)
 
 
-def _convert(value: Any, wanted: Any) -> Any:
-    if typing.get_origin(wanted) is tuple:
-        return _convert_list(value, typing.get_args(wanted)[0])
-    if wanted is CallerLogin:
+def _convert(value: Any, expected_type: Any) -> Any:
+    if typing.get_origin(expected_type) is tuple:
+        return _convert_list(value, typing.get_args(expected_type)[0])
+    if expected_type is CallerLogin:
         return _convert_login(value)
-    if wanted is float and isinstance(value, int | float):
+    if expected_type is float and isinstance(value, int | float):
         if isinstance(value, bool):
-            raise _WrongValue("is true or false, not a number")
+            raise _InvalidValueError("is true or false, not a number")
         return float(value)
-    if isinstance(value, bool) or not isinstance(value, wanted):
+    if isinstance(value, bool) or not isinstance(value, expected_type):
         names = {str: "a string", int: "a whole number", float: "a number"}
-        raise _WrongValue(f"is not {names.get(wanted, wanted)}")
+        raise _InvalidValueError(
+            f"is not {names.get(expected_type, expected_type)}"
+        )
     return value
 
 
-def _convert_list(value: Any, wanted: Any) -> tuple[Any, ...]:
+def _convert_list(value: Any, expected_type: Any) -> tuple[Any, ...]:
     if not isinstance(value, list):
-        raise _WrongValue("is not a list")
-    return tuple(_convert(item, wanted) for item in value)
+        raise _InvalidValueError("is not a list")
+    return tuple(_convert(item, expected_type) for item in value)
 
 
 def _convert_login(value: Any) -> CallerLogin:
     if not isinstance(value, dict) or set(value) != {"user", "password"}:
-        raise _WrongValue("has an entry without just user and password")
+        raise _InvalidValueError("has an entry without just user and password")
     if not all(isinstance(item, str) for item in value.values()):
-        raise _WrongValue("has a user or password that is not a string")
+        raise _InvalidValueError("has a user or password that is not a string")
     return CallerLogin(**value)
 
 
 def _check_bounds(value: Any, field: "attrs.Attribute[Any]") -> None:
     rules = field.metadata
     if rules["not_empty"] and not value:
-        raise _WrongValue("is empty")
+        raise _InvalidValueError("is empty")
     strings = value if isinstance(value, tuple) else (value,)
-    shortest = rules["minimum_length"]
-    if shortest and any(len(text) < shortest for text in strings):
-        raise _WrongValue(f"is shorter than {shortest} characters")
+    min_length = rules["minimum_length"]
+    if min_length and any(len(text) < min_length for text in strings):
+        raise _InvalidValueError(f"is shorter than {min_length} characters")
     if rules["choices"] and value not in rules["choices"]:
         allowed = ", ".join(rules["choices"])
-        raise _WrongValue(f"is {value!r}, not one of {allowed}")
+        raise _InvalidValueError(f"is {value!r}, not one of {allowed}")
     if rules["minimum"] is not None and value < rules["minimum"]:
-        raise _WrongValue(f"is {value}, below {rules['minimum']}")
+        raise _InvalidValueError(f"is {value}, below {rules['minimum']}")
     if rules["maximum"] is not None and value > rules["maximum"]:
-        raise _WrongValue(f"is {value}, above {rules['maximum']}")
+        raise _InvalidValueError(f"is {value}, above {rules['maximum']}")
--- a/packages/jackdawcrank-wire/tests/codec/test_codecs.py
+++ b/packages/jackdawcrank-wire/tests/codec/test_codecs.py
@@ -24,9 +24,11 @@
     assert codec.decode(codec.encode(message)) == message
 
 
-@given(junk=st.binary(max_size=200))
-def test_garbage_is_malformed_or_a_message(codec: Codec, junk: bytes) -> None:
-    decoded = codec.decode(junk)
+@given(garbage=st.binary(max_size=200))
+def test_garbage_is_malformed_or_a_message(
+    codec: Codec, garbage: bytes
+) -> None:
+    decoded = codec.decode(garbage)
     assert attrs.has(type(decoded)) or isinstance(decoded, Malformed)
 
 
@@ -35,17 +37,17 @@
     codec: Codec, message: Message, data: st.DataObject
 ) -> None:
     body = bytearray(codec.encode(message))
-    place = data.draw(st.integers(0, len(body) - 1))
-    body[place] = data.draw(st.integers(0, 255))
-    cut = data.draw(st.integers(0, len(body)))
+    index = data.draw(st.integers(0, len(body) - 1))
+    body[index] = data.draw(st.integers(0, 255))
+    length = data.draw(st.integers(0, len(body)))
     codec.decode(bytes(body))
-    codec.decode(bytes(body[:cut]))
+    codec.decode(bytes(body[:length]))
 
 
-def test_more_than_a_frame_is_malformed(codec: Codec) -> None:
+def test_an_oversized_body_is_malformed(codec: Codec) -> None:
     assert isinstance(codec.decode(b" " * (MAX_FRAME_BYTES + 1)), Malformed)
 
 
-@pytest.mark.parametrize("junk", [b"", b"[" * 5000, b"\x91" * 5000])
-def test_deep_nesting_is_malformed(codec: Codec, junk: bytes) -> None:
-    assert isinstance(codec.decode(junk), Malformed)
+@pytest.mark.parametrize("garbage", [b"", b"[" * 5000, b"\x91" * 5000])
+def test_deep_nesting_is_malformed(codec: Codec, garbage: bytes) -> None:
+    assert isinstance(codec.decode(garbage), Malformed)
--- a/packages/jackdawcrank-wire/tests/codec/test_msgpack_codec.py
+++ b/packages/jackdawcrank-wire/tests/codec/test_msgpack_codec.py
@@ -83,11 +83,11 @@
 @pytest.mark.parametrize(
     "result", [[4, []], [2], [[], []], [2, {}], 2, [1, [[], [["text"]]]]]
 )
-def test_a_broken_result_is_malformed(result: typing.Any) -> None:
+def test_an_invalid_result_is_malformed(result: typing.Any) -> None:
     assert isinstance(CODEC.decode(pack(7, 1, [1, result])), Malformed)
 
 
-def test_a_result_names_its_kind() -> None:
+def test_a_result_carries_its_type_number() -> None:
     body = CODEC.encode(Answer(5, ResultOk(affected_rows=2)))
     assert msgpack.unpackb(body)[2][:2] == [
         5,
--- a/packages/jackdawcrank-wire/tests/framing/test_framing.py
+++ b/packages/jackdawcrank-wire/tests/framing/test_framing.py
@@ -21,7 +21,7 @@
 
 
 @given(bodies=st.lists(st.binary(min_size=1, max_size=100), max_size=5))
-async def test_frames_come_out_as_they_went_in(bodies: list[bytes]) -> None:
+async def test_frames_survive_a_round_trip(bodies: list[bytes]) -> None:
     reader = make_reader(b"".join(map(frame, bodies)))
     assert [await reader.read() for _ in bodies] == bodies
     end = await reader.read()
@@ -29,10 +29,12 @@
     assert end.clean
 
 
-@given(junk=st.binary(max_size=300))
-async def test_garbage_ends_the_stream_within_its_length(junk: bytes) -> None:
-    reader = make_reader(junk)
-    for _ in range(len(junk) + 1):
+@given(garbage=st.binary(max_size=300))
+async def test_garbage_ends_the_stream_within_its_length(
+    garbage: bytes,
+) -> None:
+    reader = make_reader(garbage)
+    for _ in range(len(garbage) + 1):
         if isinstance(await reader.read(), StreamEnd):
             return
     raise AssertionError("more frames than bytes")
--- a/packages/jackdawcrank-wire/tests/resources/test_openapi.py
+++ b/packages/jackdawcrank-wire/tests/resources/test_openapi.py
@@ -12,7 +12,7 @@
 PAGE = pathlib.Path(__file__).parents[4] / "docs" / "openapi.json"
 
 
-def test_the_page_is_as_the_declarations_say() -> None:
+def test_openapi_page_is_up_to_date() -> None:
     assert PAGE.read_text() == openapi_text(), (
         "write it again: python -m jackdawcrank_wire.resources.openapi"
     )
@@ -27,7 +27,7 @@
         assert schema["properties"]["kind"] == {"const": kind}
 
 
-def test_bounds_and_defaults_reach_the_schema() -> None:
+def test_schema_contains_bounds_and_defaults() -> None:
     schemas = openapi_document()["components"]["schemas"]
     spec = schemas["BackendServer"]["properties"]["spec"]
     assert spec["required"] == ["group", "host", "port"]
--- a/packages/jackdawcrank-wire/tests/resources/test_parse.py
+++ b/packages/jackdawcrank-wire/tests/resources/test_parse.py
@@ -13,7 +13,7 @@
     parse_resource,
     policy_value,
     resource_document,
-    stored_value,
+    stored_policy_value,
 )
 
 SERVER = {"group": "g", "host": "10.0.0.1", "port": 3306}
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("name", ["", "A", "a/b", "-a", "a" * 64, None, 3])
-def test_a_bad_name_is_refused(name: Any) -> None:
+def test_an_invalid_name_is_rejected(name: Any) -> None:
     found = parse_resource(document("DatabaseGroup", {}, name))
     assert isinstance(found, Invalid)
     assert found.problems[0].path == "metadata.name"
@@ -97,11 +97,11 @@
 
 
 @pytest.mark.parametrize("value", [None, [], "x", 3])
-def test_a_document_that_is_no_object_is_refused(value: Any) -> None:
+def test_a_non_object_document_is_rejected(value: Any) -> None:
     assert isinstance(parse_resource(value), Invalid)
 
 
-def test_a_resource_survives_its_json_form() -> None:
+def test_a_resource_survives_a_json_round_trip() -> None:
     given = document("DatabaseGroup", {"defaultMaxAgeMs": 5000})
     given["resourceVersion"] = 7
     resource = parse_resource(given)
@@ -125,7 +125,7 @@
     )
 
 
-def test_every_declared_key_reaches_the_policy() -> None:
+def test_policy_value_contains_every_declared_key() -> None:
     spec = DatabaseGroupSpec(
         **{
             field.name: True if field.type is bool else 77
@@ -137,9 +137,9 @@
     assert value == attrs.asdict(spec)
 
 
-def test_a_row_of_a_newer_release_is_read_as_far_as_known() -> None:
+def test_unknown_keys_of_a_stored_row_are_ignored() -> None:
     row = {"spec": {"slotsPerServer": 4, "colour": "red"}}
-    value = stored_value("DatabaseGroup", "x", row)
+    value = stored_policy_value("DatabaseGroup", "x", row)
     assert value == GroupSpec("x", slots_per_server=4)
 
 
@@ -154,4 +154,4 @@
     ],
 )
 def test_an_unreadable_row_has_no_value(kind: str, row: Any) -> None:
-    assert stored_value(kind, "x", row) is None
+    assert stored_policy_value(kind, "x", row) is None
