--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/__init__.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/__init__.py
@@ -1,4 +1,4 @@
-"""Codecs of the messages between proxies."""
+"""Codecs for the messages between proxies."""
 
 from jackdawcrank_wire.codec.codec import Codec
 from jackdawcrank_wire.codec.json_codec import JsonCodec
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/codec.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/codec.py
@@ -7,18 +7,20 @@
 
 
 class Codec(typing.Protocol):
-    """Turns messages into bytes and back."""
+    """Encodes messages to bytes and decodes them."""
 
     def encode(self, message: Message) -> bytes:
-        """Return a message as bytes.
+        """Return the encoded form of a message.
 
         Args:
-          message: Any message.
+          message: The message to encode.
         """
 
     def decode(self, data: bytes) -> Message | Malformed:
-        """Return the message that bytes hold; never raises on any bytes.
+        """Return the decoded message, or `Malformed` if decoding fails.
+
+        Never raises, whatever the input.
 
         Args:
-          data: What a peer sent.
+          data: The bytes received from a peer.
         """
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/converter.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/converter.py
@@ -1,4 +1,4 @@
-"""Conversion between messages and plain lists."""
+"""Conversion between messages and lists of plain values."""
 
 import base64
 import collections.abc
@@ -31,14 +31,14 @@
 def build_converter(*, bytes_as_text: bool = False) -> cattrs.Converter:
     """Return a converter between messages and lists of plain values.
 
-    An attrs class becomes the list of its fields' values in order. When
-    reading, fields beyond those that are known are ignored and missing ones
-    take their defaults, so that two versions understand each other as long as
-    new fields come last and have defaults.
+    An attrs class is converted to the list of its field values, in order.
+    When a list is read, unknown trailing fields are ignored and missing fields
+    take their defaults. Two versions are therefore compatible as long as new
+    fields are added at the end and have defaults.
 
     Args:
-      bytes_as_text: Whether bytes become base64 text, for formats that have
-        no type for bytes.
+      bytes_as_text: Whether to encode bytes as base64 text, for formats
+        without a byte string type.
     """
     converter = cattrs.Converter(detailed_validation=False)
     register_scalars(converter)
@@ -57,10 +57,10 @@
 
 
 def register_scalars(converter: cattrs.Converter) -> None:
-    """Accept scalars of exactly the declared type.
+    """Register hooks that accept only scalars of the declared type.
 
     Args:
-      converter: The converter to change.
+      converter: The converter to register the hooks with.
     """
     for scalar in (int, str, bytes, bool):
         converter.register_structure_hook(scalar, structure_exact)
@@ -71,17 +71,19 @@
 
 
 def structure_exact(value: typing.Any, cls: type) -> typing.Any:
-    """Return a value that must be of exactly one type.
+    """Return a value unchanged after checking its type.
+
+    Subclasses are not accepted, so `True` is not a valid integer.
 
     Args:
-      value: The value.
-      cls: Its type.
+      value: The value to check.
+      cls: The required type.
 
     Raises:
-      TypeError: The value is of another type.
+      TypeError: The value has another type.
     """
     if type(value) is not cls:
-        raise TypeError(f"{type(value).__name__} in place of {cls.__name__}")
+        raise TypeError(f"got {type(value).__name__}, expected {cls.__name__}")
     return value
 
 
@@ -89,21 +91,21 @@
     """Return a number as a float.
 
     Args:
-      value: The number.
+      value: An integer or float.
 
     Raises:
-      TypeError: The value is no number.
+      TypeError: The value is not a number.
     """
     if type(value) not in (int, float):
-        raise TypeError(f"{type(value).__name__} in place of float")
+        raise TypeError(f"got {type(value).__name__}, expected float")
     return float(value)
 
 
 def register_base64(converter: cattrs.Converter) -> None:
-    """Write bytes as base64 text.
+    """Register hooks that convert bytes to and from base64 text.
 
     Args:
-      converter: The converter to change.
+      converter: The converter to register the hooks with.
     """
     converter.register_unstructure_hook(
         bytes, lambda value: base64.b64encode(value).decode()
@@ -114,10 +116,10 @@
 
 
 def register_rows(converter: cattrs.Converter) -> None:
-    """Pass rows through without looking at each value's type hook.
+    """Register hooks that pass rows through without per-value hooks.
 
     Args:
-      converter: The converter to change.
+      converter: The converter to register the hooks with.
     """
     converter.register_structure_hook_func(
         lambda cls: cls == Rows, structure_rows
@@ -128,43 +130,46 @@
 
 
 def structure_rows(value: typing.Any, _: typing.Any) -> Rows:
-    """Return rows of bytes and None.
+    """Return rows whose values are bytes or None.
 
     Args:
       value: A list of lists.
 
     Raises:
-      TypeError: A value is neither bytes nor None.
+      TypeError: The value is not a list, or a row contains a value that is
+        neither bytes nor None.
     """
     rows = tuple(tuple(row) for row in require_list(value))
     for row in rows:
         if not all(cell is None or type(cell) is bytes for cell in row):
-            raise TypeError("a row holds a value that is not bytes")
+            raise TypeError(
+                "row contains a value that is neither bytes nor None"
+            )
     return rows
 
 
 def require_list(value: typing.Any) -> list[typing.Any]:
-    """Return a value that must be a list.
+    """Return a value unchanged after checking that it is a list.
 
     Args:
-      value: The value.
+      value: The value to check.
 
     Raises:
-      TypeError: The value is no list.
+      TypeError: The value is not a list.
     """
     if type(value) is not list:
-        raise TypeError(f"{type(value).__name__} in place of a list")
+        raise TypeError(f"got {type(value).__name__}, expected list")
     return value
 
 
 def make_structure_hook(
     cls: type, converter: cattrs.Converter
 ) -> StructureHook:
-    """Return a function that builds an attrs class from a list.
+    """Return a hook that builds an instance of an attrs class from a list.
 
     Args:
       cls: The attrs class.
-      converter: The converter that knows the fields' types.
+      converter: The converter that provides the hooks of the field types.
     """
     fields = attrs.fields(attrs.resolve_types(cls))
     hooks = [
@@ -182,11 +187,11 @@
 def make_unstructure_hook(
     cls: type, converter: cattrs.Converter
 ) -> UnstructureHook:
-    """Return a function that turns an attrs class into a list.
+    """Return a hook that converts an instance of an attrs class to a list.
 
     Args:
       cls: The attrs class.
-      converter: The converter that knows the fields' types.
+      converter: The converter that provides the hooks of the field types.
     """
     fields = attrs.fields(attrs.resolve_types(cls))
     hooks = [
@@ -201,10 +206,10 @@
 
 
 def register_results(converter: cattrs.Converter) -> None:
-    """Write each kind of statement result with its number before it.
+    """Register hooks that tag each statement result with its type number.
 
     Args:
-      converter: The converter to change.
+      converter: The converter to register the hooks with.
     """
 
     def is_result(cls: typing.Any) -> bool:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/envelope.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/envelope.py
@@ -1,4 +1,4 @@
-"""The list that a message becomes before it is encoded."""
+"""The envelope that carries a message in every codec."""
 
 import typing
 
@@ -18,7 +18,7 @@
 
     Args:
       message: The message.
-      converter: Turns its fields into plain values.
+      converter: Converts the fields to plain values.
     """
     number = MESSAGE_NUMBERS[type(message)]
     return [number, SCHEMA_VERSION, converter.unstructure(message)]
@@ -27,10 +27,10 @@
 def unpack_envelope(
     envelope: typing.Any, converter: cattrs.Converter
 ) -> Message | Malformed:
-    """Return the message that a decoded envelope holds.
+    """Return the message in a decoded envelope, or why there is none.
 
     Args:
-      envelope: What a peer sent, of any shape.
+      envelope: The decoded value, of any type.
       converter: Builds messages from plain values.
     """
     if type(envelope) is not list or len(envelope) < 3:
@@ -48,15 +48,16 @@
 
 
 def unknown_type(number: int, fields: list[typing.Any]) -> Malformed:
-    """Return the description of a message of a newer version.
+    """Describe a message whose type this version does not know.
 
     Args:
-      number: The message's number.
-      fields: Its fields; a request has its request number first.
+      number: The number of the message type.
+      fields: The message's fields. The first field of a request is its
+        request number.
     """
     first = fields[0] if fields else 0
     return Malformed(
-        f"message number {number} is not known",
+        f"unknown message number {number}",
         unknown_type=number,
         request_number=first if type(first) is int else 0,
     )
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/json_codec.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/json_codec.py
@@ -1,4 +1,4 @@
-"""A readable codec for debugging."""
+"""A human-readable codec for debugging."""
 
 import json
 
@@ -16,22 +16,22 @@
         self.converter = build_converter(bytes_as_text=True)
 
     def encode(self, message: Message) -> bytes:
-        """Return a message as JSON.
+        """Return a message encoded as JSON.
 
         Args:
-          message: Any message.
+          message: The message to encode.
         """
         envelope = pack_envelope(message, self.converter)
         return json.dumps(envelope, separators=(",", ":")).encode()
 
     def decode(self, data: bytes) -> Message | Malformed:
-        """Return the message that JSON bytes hold.
+        """Return the decoded message, or `Malformed` if decoding fails.
 
         Args:
-          data: What a peer sent.
+          data: The bytes received from a peer.
         """
         if len(data) > MAX_FRAME_BYTES:
-            return Malformed(f"{len(data)} bytes are more than a frame holds")
+            return Malformed(f"{len(data)} bytes exceed the frame size limit")
         try:
             envelope = json.loads(data)
         except (ValueError, RecursionError) as error:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/limits.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/limits.py
@@ -1,4 +1,4 @@
-"""Size bounds of encoded messages."""
+"""Size limits of encoded messages."""
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 MAX_LIST_LENGTH = 65_536
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/msgpack_codec.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/codec/msgpack_codec.py
@@ -1,4 +1,4 @@
-"""The codec that proxies use between each other."""
+"""The codec that proxies use to communicate with each other."""
 
 import msgpack
 
@@ -16,22 +16,22 @@
         self.converter = build_converter()
 
     def encode(self, message: Message) -> bytes:
-        """Return a message as msgpack.
+        """Return a message encoded as msgpack.
 
         Args:
-          message: Any message.
+          message: The message to encode.
         """
         envelope = pack_envelope(message, self.converter)
         return msgpack.packb(envelope)  # type: ignore[no-any-return]
 
     def decode(self, data: bytes) -> Message | Malformed:
-        """Return the message that msgpack bytes hold.
+        """Return the decoded message, or `Malformed` if decoding fails.
 
         Args:
-          data: What a peer sent.
+          data: The bytes received from a peer.
         """
         if len(data) > MAX_FRAME_BYTES:
-            return Malformed(f"{len(data)} bytes are more than a frame holds")
+            return Malformed(f"{len(data)} bytes exceed the frame size limit")
         try:
             envelope = msgpack.unpackb(
                 data,
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/__init__.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/__init__.py
@@ -1,4 +1,4 @@
-"""Events of the time line and their forms outside a process."""
+"""Timeline events and their serialized forms."""
 
 from jackdawcrank_wire.events.event_kind import EventKind
 from jackdawcrank_wire.events.json_lines import (
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/event_kind.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/event_kind.py
@@ -1,10 +1,10 @@
-"""The kinds of events on the time line."""
+"""The kinds of timeline events."""
 
 import enum
 
 
 class EventKind(enum.StrEnum):
-    """What happened or was decided."""
+    """The kind of a timeline event: an observation or a decision."""
 
     VM_STARTED = "vm_started"
     VM_READY = "vm_ready"
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/json_lines.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/json_lines.py
@@ -1,4 +1,4 @@
-"""The time line as JSON lines."""
+"""Conversion of timeline events to and from JSON lines."""
 
 import collections.abc
 import dataclasses
@@ -18,20 +18,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class MalformedEvent:
-    """Says why a line is no event.
+    """The reason why a value is not a valid event.
 
     Attributes:
-      detail: What was wrong.
+      detail: A description of the error.
     """
 
     detail: str
 
 
 def event_to_dict(event: TimelineEvent) -> dict[str, typing.Any]:
-    """Return an event as plain values for JSON.
+    """Return an event as a dictionary that can be encoded as JSON.
 
     Args:
-      event: The event.
+      event: The event to convert.
     """
     return attrs.asdict(event) | {
         "kind": str(event.kind),
@@ -40,25 +40,25 @@
 
 
 def event_from_dict(fields: object) -> TimelineEvent | MalformedEvent:
-    """Return the event that plain values describe.
+    """Return the event in a decoded JSON value, or why it is not valid.
 
     Args:
-      fields: What JSON held, of any shape.
+      fields: The decoded JSON value, of any type.
     """
     if not isinstance(fields, dict):
         return MalformedEvent("not a JSON object")
     for name, accepted_types in expected_types():
         if type(fields.get(name)) not in accepted_types:
-            return MalformedEvent(f"{name} is missing or of a wrong type")
+            return MalformedEvent(f"{name} is missing or has a wrong type")
     detail = fields["detail"]
     if not all(isinstance(value, str) for value in detail.values()):
-        return MalformedEvent("detail holds a value that is not text")
+        return MalformedEvent("detail contains a value that is not a string")
     field_values = {name: fields[name] for name, _ in expected_types()}
     return TimelineEvent(**field_values | {"kind": parse_kind(fields["kind"])})
 
 
 def expected_types() -> list[tuple[str, tuple[type, ...]]]:
-    """Return each field of an event with the types that it may have."""
+    """Return the name and the accepted types of each field of an event."""
     return [
         *((name, (str,)) for name in TEXT_FIELDS),
         *((name, (int,)) for name in INTEGER_FIELDS),
@@ -68,19 +68,19 @@
 
 
 def parse_kind(text: str) -> EventKind | str:
-    """Return the kind of a name, or the name of an unknown kind.
+    """Return the event kind with a name, or the name if it is unknown.
 
     Args:
-      text: The kind's name.
+      text: The name of the kind.
     """
     return KINDS_BY_NAME.get(text, text)
 
 
 def to_json_lines(events: collections.abc.Iterable[TimelineEvent]) -> str:
-    """Return events as JSON, one a line.
+    """Return events as JSON lines, one event per line.
 
     Args:
-      events: The events, in the order of the lines.
+      events: The events, in output order.
     """
     return "".join(
         json.dumps(event_to_dict(event), separators=(",", ":")) + "\n"
@@ -89,7 +89,7 @@
 
 
 def from_json_line(line: str) -> TimelineEvent | MalformedEvent:
-    """Return the event that a line holds.
+    """Return the event in a line, or why the line is not valid.
 
     Args:
       line: One line of JSON.
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/merge.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/merge.py
@@ -1,4 +1,4 @@
-"""One ordered view of many VMs' events."""
+"""Merges the events of several VMs into one order."""
 
 import bisect
 import collections
@@ -22,14 +22,14 @@
 def merge_events(
     events: collections.abc.Iterable[TimelineEvent],
 ) -> list[TimelineEvent]:
-    """Return events of many VMs in one order.
+    """Return the events of several VMs in one order without duplicates.
 
-    Within one process the sequence decides. Between processes the wall clock
-    decides, except where it can be told to be wrong: an event of a group's
-    lower term, or of a lower configuration version, comes before one of a
-    higher, as far as clocks may differ by `MAX_CLOCK_SKEW_SECONDS`. What is
-    further apart is taken for a VM that lags behind. An event that is given
-    twice appears once.
+    Events of one process are ordered by sequence number. Events of different
+    processes are ordered by wall clock time, with a correction for clock skew:
+    an event with a lower term of a group, or with a lower configuration
+    version, precedes an event with a higher one if their wall clock times
+    differ by at most `MAX_CLOCK_SKEW_SECONDS`. A larger difference is assumed
+    to come from a VM that lags behind, and the wall clock order is kept.
 
     Args:
       events: The events, in any order.
@@ -47,7 +47,7 @@
 def split_streams(
     events: collections.abc.Iterable[TimelineEvent],
 ) -> list[Stream]:
-    """Return each process's events by sequence, without repeats.
+    """Return the events of each process by sequence, without duplicates.
 
     Args:
       events: The events, in any order.
@@ -63,13 +63,14 @@
 
 
 def corrected_times(streams: list[Stream]) -> Times:
-    """Return each event's wall time, moved behind what must precede it.
+    """Return wall times adjusted to the order required by the counters.
 
-    Moving one event may call for moving others; hints that contradict each
-    other end after `MAX_PASSES`.
+    Moving one event can require moving others, so the adjustment is repeated
+    until no event moves. Counters that contradict each other may not
+    settle, so the number of passes is limited to `MAX_PASSES`.
 
     Args:
-      streams: Each process's events by sequence.
+      streams: The events of each process, ordered by sequence.
     """
     counters = index_by_counter(streams)
     times = [[event.wall for event in stream] for stream in streams]
@@ -89,10 +90,10 @@
 def index_by_counter(
     streams: list[Stream],
 ) -> dict[str, dict[int, list[EventIndex]]]:
-    """Return the places of events by the counters and values they name.
+    """Return the indexes of events, grouped by counter name and value.
 
     Args:
-      streams: Each process's events by sequence.
+      streams: The events of each process, ordered by sequence.
     """
     counters: dict[str, dict[int, list[EventIndex]]]
     counters = collections.defaultdict(lambda: collections.defaultdict(list))
@@ -106,11 +107,11 @@
 def move_after_lower_values(
     indexes_by_value: dict[int, list[EventIndex]], times: Times
 ) -> bool:
-    """Move events behind those with lower values of one counter.
+    """Move events after those with lower values of one counter.
 
     Args:
-      indexes_by_value: The places of events by the counter's value.
-      times: Each event's time; changed in place.
+      indexes_by_value: The indexes of events, grouped by counter value.
+      times: The time of each event, in seconds; modified in place.
 
     Returns:
       Whether any event was moved.
@@ -134,7 +135,7 @@
 
 
 def ordering_counters(event: TimelineEvent) -> list[tuple[str, int]]:
-    """Return the counters that order an event against other VMs' events.
+    """Return the counters that order an event relative to other VMs' events.
 
     Args:
       event: The event.
@@ -148,7 +149,7 @@
 
 
 def config_version(event: TimelineEvent) -> int:
-    """Return the configuration version that an event names; 0 for none.
+    """Return the configuration version of an event; 0 if it has none.
 
     Args:
       event: The event.
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/timeline_event.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/timeline_event.py
@@ -1,4 +1,4 @@
-"""One event on the time line."""
+"""An event on the timeline."""
 
 import collections.abc
 
@@ -9,20 +9,22 @@
 
 @attrs.frozen
 class TimelineEvent:
-    """Something that one VM saw or decided.
+    """An observation or decision recorded by one VM.
 
     Attributes:
-      vm: The VM that recorded it.
-      boot: The id of that VM's process.
-      sequence: The event's number within the process, from 1 without gaps.
-      monotonic: Seconds on the process's monotonic clock.
-      wall: Unix time in seconds.
-      kind: What happened; plain text where a newer version's kind is not
-        known here.
-      group: The database group concerned; empty for none.
-      term: The term concerned; 0 for none.
-      request_id: The caller's request concerned; empty for none.
-      detail: Further facts.
+      vm: The VM that recorded the event.
+      boot: The id of the process that recorded the event.
+      sequence: The number of the event within the process, starting at 1
+        without gaps.
+      monotonic: The time on the monotonic clock of the process, in seconds.
+      wall: The Unix time in seconds.
+      kind: The kind of the event; a string if this version does not know the
+        kind.
+      group: The database group that the event concerns; empty for none.
+      term: The term that the event concerns; 0 for none.
+      request_id: The id of the caller's request that the event concerns;
+        empty for none.
+      detail: Additional information.
     """
 
     vm: str
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/trace_events.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/trace_events.py
@@ -1,4 +1,4 @@
-"""The time line in the form that browsers' trace viewers open."""
+"""Conversion of the timeline to the format of browser trace viewers."""
 
 import collections.abc
 import json
@@ -17,12 +17,12 @@
 def to_trace_events(events: collections.abc.Sequence[TimelineEvent]) -> str:
     """Return events as a JSON object in the trace-event format.
 
-    Each VM is shown as a process and each database group on it as a thread.
-    Every event is an instant; a promotion is a span from its start to its
-    end.
+    Each VM is represented as a process and each database group on it as a
+    thread. Every event is an instant event; a promotion is also a span from
+    its start to its end.
 
     Args:
-      events: The events, merged into one order.
+      events: The events in merged order.
     """
     trace_ids = TraceIds()
     entries: list[Entry] = []
@@ -33,7 +33,7 @@
 
 
 class TraceIds:
-    """Numbers of processes, threads and spans in a trace."""
+    """Assigns the ids of processes, threads and spans in a trace."""
 
     def __init__(self) -> None:
         self.open_spans: dict[tuple[str, str], str] = {}
@@ -41,7 +41,7 @@
         self.threads: dict[tuple[str, str], int] = {}
 
     def process_and_thread(self, event: TimelineEvent) -> Entry:
-        """Return the process and thread of an event.
+        """Return the process id and the thread id of an event.
 
         Args:
           event: The event.
@@ -52,25 +52,28 @@
         return {"pid": pid, "tid": tid}
 
     def begin_span(self, event: TimelineEvent) -> str:
-        """Return the id of a span that begins on an event's VM and group.
+        """Open a span on the VM and group of an event and return its id.
 
         Args:
-          event: The event.
+          event: The event that begins the span.
         """
         span_id = f"{event.group}/{event.term}"
         self.open_spans[event.vm, event.group] = span_id
         return span_id
 
     def end_span(self, event: TimelineEvent) -> str | None:
-        """Return the id of the span that an event ends; None if none is open.
+        """Close the span that an event ends and return its id.
 
         Args:
-          event: The event.
+          event: The event that ends the span.
+
+        Returns:
+          The id of the span; None if no span is open.
         """
         return self.open_spans.pop((event.vm, event.group), None)
 
     def metadata_entries(self) -> list[Entry]:
-        """Return the entries that name processes and threads."""
+        """Return the metadata entries with process and thread names."""
         processes: list[Entry] = [
             {
                 "ph": "M",
@@ -94,11 +97,11 @@
 
 
 def instant_entry(event: TimelineEvent, trace_ids: TraceIds) -> Entry:
-    """Return an event as an instant of the trace.
+    """Return the instant entry of an event.
 
     Args:
       event: The event.
-      trace_ids: Where processes and threads are numbered.
+      trace_ids: Assigns process and thread ids.
     """
     return {
         "name": str(event.kind),
@@ -117,11 +120,14 @@
 
 
 def span_entries(event: TimelineEvent, trace_ids: TraceIds) -> list[Entry]:
-    """Return the entry that opens or closes a promotion's span, if any.
+    """Return the entry that begins or ends the span of a promotion.
 
     Args:
       event: The event.
-      trace_ids: Where processes and threads are numbered.
+      trace_ids: Assigns process, thread and span ids.
+
+    Returns:
+      A list of one entry; empty if the event neither begins nor ends a span.
     """
     phase, span_id = "", None
     if event.kind == PROMOTION_START:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/framing/frame_reader.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/framing/frame_reader.py
@@ -1,4 +1,4 @@
-"""Reading of length-prefixed frames."""
+"""Reader of length-prefixed frames."""
 
 import asyncio
 import struct
@@ -10,7 +10,10 @@
 
 
 class FrameReader:
-    """Reads frames: four bytes of length, then as many bytes of body."""
+    """Reads frames from a stream.
+
+    A frame is a four-byte big-endian length followed by the body.
+    """
 
     def __init__(
         self,
@@ -21,10 +24,10 @@
         self.max_frame_bytes = max_frame_bytes
 
     async def read(self) -> bytes | StreamEnd:
-        """Return the next frame's body, or why there is none.
+        """Return the body of the next frame, or why the stream has ended.
 
-        The length is checked before any byte of the body is read, so that a
-        peer cannot make this end allocate more than the bound.
+        The length is checked before the body is read, so that a peer cannot
+        make the reader allocate more than `max_frame_bytes`.
         """
         try:
             header = await self.reader.readexactly(LENGTH.size)
@@ -34,14 +37,14 @@
             return StreamEnd(f"connection lost: {type(error).__name__}")
         (length,) = LENGTH.unpack(header)
         if not 0 < length <= self.max_frame_bytes:
-            return StreamEnd(f"a frame of {length} bytes is out of bounds")
+            return StreamEnd(f"frame length of {length} bytes is out of bounds")
         return await self.read_body(length)
 
     async def read_body(self, length: int) -> bytes | StreamEnd:
-        """Return a frame's body, or why there is none.
+        """Return the body of a frame, or why the stream has ended.
 
         Args:
-          length: The body's length in bytes.
+          length: The length of the body in bytes.
         """
         try:
             return await self.reader.readexactly(length)
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/framing/frame_writer.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/framing/frame_writer.py
@@ -1,4 +1,4 @@
-"""Writing of length-prefixed frames."""
+"""Writer of length-prefixed frames."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 
 
 class FrameWriter:
-    """Writes frames and bounds what waits to be sent."""
+    """Writes frames and applies backpressure through a bounded buffer."""
 
     def __init__(
         self,
@@ -23,21 +23,21 @@
         writer.transport.set_write_buffer_limits(high=max_buffer_bytes)
 
     def fits(self, body: bytes) -> bool:
-        """Return whether a body is within the bound of one frame.
+        """Return whether a body is not empty and within the frame size limit.
 
         Args:
-          body: The frame's body.
+          body: The body of the frame.
         """
         return 0 < len(body) <= self.max_frame_bytes
 
     def write(self, body: bytes) -> bool:
-        """Hand a frame to the connection without waiting.
+        """Append a frame to the send buffer without waiting.
 
         Args:
-          body: The frame's body, within the bound of one frame.
+          body: The body of the frame, within the frame size limit.
 
         Returns:
-          False if the connection is closing and took no byte.
+          False if the connection is closing and nothing was written.
         """
         if self.writer.is_closing():
             return False
@@ -45,7 +45,10 @@
         return True
 
     async def drain(self) -> bool:
-        """Wait until the buffer is below its bound.
+        """Wait while writing is paused because the send buffer is full.
+
+        Writing is paused when the buffer exceeds its high-water mark and
+        resumes when it has drained to its low-water mark.
 
         Returns:
           False if the connection is closing or lost.
@@ -57,11 +60,11 @@
         return not self.writer.is_closing()
 
     async def close(self) -> None:
-        """Close the connection once the buffer is sent."""
+        """Flush the send buffer and close the connection."""
         self.writer.close()
         with contextlib.suppress(OSError):
             await self.writer.wait_closed()
 
     def abort(self) -> None:
-        """Close the connection at once and drop the buffer."""
+        """Close the connection at once and discard the send buffer."""
         self.writer.transport.abort()
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/framing/stream_end.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/framing/stream_end.py
@@ -5,11 +5,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamEnd:
-    """Says why no further frame can be read.
+    """The reason why no further frame can be read.
 
     Attributes:
-      detail: A short description.
-      clean: Whether the peer closed the stream between two frames.
+      detail: A short description of the reason.
+      clean: Whether the peer closed the stream at a frame boundary.
     """
 
     detail: str
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/__init__.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/__init__.py
@@ -1,4 +1,4 @@
-"""Resources that operators declare."""
+"""Configuration resources that operators declare."""
 
 from jackdawcrank_wire.resources.backend_server import BackendServerSpec
 from jackdawcrank_wire.resources.caller_class import CallerClassSpec
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/backend_server.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/backend_server.py
@@ -1,4 +1,4 @@
-"""The resource of a backend server."""
+"""The backend server resource."""
 
 import attrs
 
@@ -10,9 +10,9 @@
 
 @attrs.frozen
 class BackendServerSpec:
-    """What operators declare of a backend server.
+    """The declared configuration of a backend server.
 
-    Attributes are the keys of the JSON form, there in camel case.
+    Each attribute is a key of the JSON form, where it is in camel case.
     """
 
     group: str = key(
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/caller_class.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/caller_class.py
@@ -1,4 +1,4 @@
-"""The resource of a class of callers."""
+"""The caller class resource."""
 
 import attrs
 
@@ -7,9 +7,9 @@
 
 @attrs.frozen
 class CallerClassSpec:
-    """What operators declare of a class of callers.
+    """The declared configuration of a caller class.
 
-    Attributes are the keys of the JSON form, there in camel case.
+    Each attribute is a key of the JSON form, where it is in camel case.
     """
 
     users: tuple[str, ...] = key(
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/convert.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/convert.py
@@ -1,4 +1,4 @@
-"""Converts specs to the values that decisions are made with."""
+"""Converts resource specs to the values of the policy package."""
 
 import functools
 
@@ -14,24 +14,27 @@
 
 @functools.singledispatch
 def policy_value(spec: object, name: str) -> PolicyValue:
-    """Return the policy's value of a named resource's spec.
+    """Return the policy value of a resource spec.
 
     Args:
-      spec: The spec.
-      name: The resource's name.
+      spec: The spec of the resource.
+      name: The name of the resource.
+
+    Raises:
+      TypeError: The object is not a resource spec.
     """
-    raise TypeError(f"not a spec: {spec!r} of {name}")
+    raise TypeError(f"not a resource spec: {spec!r} of {name}")
 
 
 @policy_value.register
 def group_value(spec: DatabaseGroupSpec, name: str) -> values.GroupSpec:
-    """Return the policy's value of a database group."""
+    """Return the policy value of a database group."""
     return values.GroupSpec(name=name, **attrs.asdict(spec))
 
 
 @policy_value.register
 def server_value(spec: BackendServerSpec, name: str) -> values.ServerSpec:
-    """Return the policy's value of a backend server."""
+    """Return the policy value of a backend server."""
     keys = attrs.asdict(spec)
     state = values.ServerState(keys.pop("state"))
     return values.ServerSpec(name=name, state=state, **keys)
@@ -41,5 +44,5 @@
 def caller_class_value(
     spec: CallerClassSpec, name: str
 ) -> values.CallerClassSpec:
-    """Return the policy's value of a class of callers."""
+    """Return the policy value of a caller class."""
     return values.CallerClassSpec(name=name, **attrs.asdict(spec))
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/converter.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/converter.py
@@ -1,4 +1,4 @@
-"""Structures specs with cattrs."""
+"""Conversion between specs and JSON values with cattrs."""
 
 from typing import Any
 
@@ -19,14 +19,16 @@
 
 
 class WrongTypeError(ValueError):
-    """A value is not of its key's type."""
+    """Raised if a value does not have the type of its key."""
 
 
 def structure_exact(value: Any, expected_type: type[Any]) -> Any:
-    """Return a value that has exactly the wanted type.
+    """Return a value unchanged after checking its type.
+
+    Subclasses are not accepted, so `True` is not a valid integer.
 
     Raises:
-      WrongTypeError: It has another type.
+      WrongTypeError: The value has another type.
     """
     if type(value) is not expected_type:
         raise WrongTypeError(f"must be {TYPE_NAMES[expected_type]}")
@@ -34,12 +36,20 @@
 
 
 def structure_optional_int(value: Any, _: Any) -> Any:
-    """Return a whole number or None."""
+    """Return a value that must be an integer or None.
+
+    Raises:
+      WrongTypeError: The value has another type.
+    """
     return None if value is None else structure_exact(value, int)
 
 
 def structure_strings(value: Any, _: Any) -> tuple[str, ...]:
-    """Return a list of strings as a tuple."""
+    """Return a list of strings as a tuple.
+
+    Raises:
+      WrongTypeError: The value is not a list or contains a non-string.
+    """
     if not isinstance(value, list | tuple):
         raise WrongTypeError("must be a list of strings")
     return tuple(structure_exact(item, str) for item in value)
@@ -49,8 +59,8 @@
     """Return a converter between specs and JSON values.
 
     Args:
-      strict: Whether unknown keys are refused; else they are passed over,
-        as is right for rows that a newer release wrote.
+      strict: Whether to reject unknown keys. If false, they are ignored, so
+        that rows written by a newer release can be read.
     """
     converter = cattrs.Converter(detailed_validation=True)
     for primitive in TYPE_NAMES:
@@ -69,7 +79,7 @@
 def register_hooks(
     converter: cattrs.Converter, declared: type[Any], strict: bool
 ) -> None:
-    """Teach a converter the JSON keys of a declared class."""
+    """Register hooks that map attributes to camel-case JSON keys."""
     renames: dict[str, Any] = {
         field.name: override(rename=camel_case(field.name))
         for field in attrs.fields(declared)
@@ -90,7 +100,7 @@
 
 
 def to_json_value(spec: Any) -> dict[str, Any]:
-    """Return a spec's JSON value with every key."""
+    """Return the JSON value of a spec, including keys at their default."""
     value = STRICT.unstructure(spec)
     return {
         name: list(item) if isinstance(item, tuple) else item
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/database_group.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/database_group.py
@@ -1,4 +1,4 @@
-"""The resource of a database group."""
+"""The database group resource."""
 
 import attrs
 
@@ -9,9 +9,9 @@
 
 @attrs.frozen
 class DatabaseGroupSpec:
-    """What operators declare of a database group.
+    """The declared configuration of a database group.
 
-    Attributes are the keys of the JSON form, there in camel case.
+    Each attribute is a key of the JSON form, where it is in camel case.
     """
 
     slots_per_server: int = key(
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/declare.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/declare.py
@@ -1,4 +1,4 @@
-"""Declares one key of a resource's spec with default, help and bounds."""
+"""Declaration of a key of a resource spec with its default and limits."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -15,14 +15,15 @@
     choices: Sequence[str] = (),
     pattern: str | None = None,
 ) -> Any:
-    """Return the attrs field of a spec's key.
+    """Return the attrs field of a spec key.
 
     Args:
-      help_text: What the key sets, with its unit.
-      default: The value where the key is absent; none makes it required.
-      minimum: The least allowed number.
-      maximum: The greatest allowed number.
-      choices: The allowed strings; empty allows any.
+      help_text: The description of the key, including its unit.
+      default: The value used if the key is absent; without a default the key
+        is required.
+      minimum: The smallest allowed number.
+      maximum: The largest allowed number.
+      choices: The allowed strings; empty allows any string.
       pattern: A regular expression that the whole string must match.
     """
     metadata = {
@@ -36,6 +37,6 @@
 
 
 def camel_case(name: str) -> str:
-    """Return the JSON key of an attribute, as `slotsPerServer`."""
+    """Return the JSON key of an attribute, such as `slotsPerServer`."""
     first, *rest = name.split("_")
     return first + "".join(part.capitalize() for part in rest)
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/metadata.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/metadata.py
@@ -1,4 +1,4 @@
-"""What every resource has besides its spec."""
+"""Metadata common to all resources."""
 
 import attrs
 
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/openapi.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/openapi.py
@@ -40,12 +40,12 @@
 
 
 def openapi_text() -> str:
-    """Return the OpenAPI description as it stands in the docs."""
+    """Return the OpenAPI description as published in the documentation."""
     return json.dumps(openapi_document(), indent=2) + "\n"
 
 
 def kind_paths(kind: str) -> dict[str, Any]:
-    """Return the paths of one kind of resource."""
+    """Return the paths of one resource kind."""
     name = parameter("name", "path", "string", "The resource's name.")
     if_match = parameter(
         "If-Match", "header", "string", "The resource version to change."
@@ -80,7 +80,7 @@
 
 
 def other_paths() -> dict[str, Any]:
-    """Return the paths that are not about one kind."""
+    """Return the paths that do not belong to a resource kind."""
     name = parameter("name", "path", "string", "A name.")
     any_object = {"type": "object"}
     promote = operation(
@@ -173,14 +173,15 @@
     parameters: list[Schema] | None = None,
     media_type: str = "application/json",
 ) -> Schema:
-    """Return one operation.
+    """Return an operation object.
 
     Args:
-      summary: What it does.
-      answer: The schema of its answer.
-      errors: The HTTP statuses of its errors besides 401.
-      parameters: Its parameters.
-      media_type: The media type of its answer.
+      summary: A summary of the operation.
+      answer: The schema of the response body.
+      errors: The HTTP status codes of errors, separated by spaces; 401 is
+        always included.
+      parameters: The parameters of the operation.
+      media_type: The media type of the response.
     """
     responses: Schema = {
         "200": {"description": "Done.", "content": content(answer, media_type)}
@@ -197,7 +198,7 @@
 
 
 def parameter(name: str, location: str, kind: str, help_text: str) -> Schema:
-    """Return one parameter."""
+    """Return a parameter object; path parameters are required."""
     return {
         "name": name,
         "in": location,
@@ -208,7 +209,7 @@
 
 
 def content(schema: Schema, media_type: str = "application/json") -> Schema:
-    """Return the content of a body."""
+    """Return the content object of a request or response body."""
     return {media_type: {"schema": schema}}
 
 
@@ -227,7 +228,7 @@
 
 
 def error_schema() -> Schema:
-    """Return the schema of an error."""
+    """Return the schema of an error response."""
     texts = {
         "code": "A word for programs.",
         "message": "What is wrong.",
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/parse.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/parse.py
@@ -1,4 +1,4 @@
-"""Converts resources from and to their JSON form."""
+"""Converts resources to and from JSON documents."""
 
 from typing import Any
 
@@ -20,10 +20,10 @@
 
 
 def parse_resource(document: Any) -> Resource | Invalid:
-    """Return the resource that a JSON document declares.
+    """Return the resource in a JSON document, or its validation errors.
 
     Args:
-      document: The decoded JSON value. `status` is ignored.
+      document: The decoded JSON value; its `status` is ignored.
     """
     if not isinstance(document, dict):
         return Invalid((Problem("$", "must be an object", document),))
@@ -49,7 +49,7 @@
 
 
 def document_problems(document: dict[str, Any]) -> tuple[Problem, ...]:
-    """Return what is wrong with a document's own keys."""
+    """Return the problems of the top-level keys of a document."""
     found = [
         Problem(name, "is not a known key")
         for name in document
@@ -67,12 +67,12 @@
 
 
 def kind_from_name(name: Any) -> Kind | None:
-    """Return the resource kind of a name; None if there is none."""
+    """Return the resource kind with a name; None if the name is unknown."""
     return next((kind for kind in RESOURCE_KINDS if kind == name), None)
 
 
 def resource_document(resource: Resource) -> dict[str, Any]:
-    """Return a resource's JSON form."""
+    """Return the JSON document of a resource."""
     document: dict[str, Any] = {
         "apiVersion": API_VERSION,
         "kind": str(resource.kind),
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/problem.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/problem.py
@@ -1,4 +1,4 @@
-"""What is wrong with a resource."""
+"""Validation errors of a resource."""
 
 import dataclasses
 import json
@@ -9,12 +9,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Problem:
-    """One wrong value.
+    """One validation error.
 
     Attributes:
-      path: Where it stands, for example `spec.slotsPerServer`.
-      message: What is wrong with it.
-      value: The value; None for a missing key.
+      path: The path of the value, for example `spec.slotsPerServer`.
+      message: A description of the error.
+      value: The invalid value; None if the message does not refer to one.
     """
 
     path: str
@@ -30,10 +30,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Invalid:
-    """The document is not a valid resource.
+    """The result of validating a document that is not a valid resource.
 
     Attributes:
-      problems: Everything that is wrong with it.
+      problems: All validation errors.
     """
 
     problems: tuple[Problem, ...]
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/resource.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/resource.py
@@ -1,4 +1,4 @@
-"""A declared resource of any kind."""
+"""A resource of any kind."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -22,14 +22,15 @@
 
 @attrs.frozen
 class Resource:
-    """A resource: what operators declare and what the system says of it.
+    """A resource with its declared spec and its observed status.
 
     Attributes:
-      kind: The resource's kind.
-      metadata: Its identity.
-      spec: What is declared.
-      status: What the system says of it; never taken from operators.
-      resource_version: The version of its newest change; None if unknown.
+      kind: The kind of the resource.
+      metadata: The identity of the resource.
+      spec: The configuration declared by operators.
+      status: The state reported by the system; never accepted from operators.
+      resource_version: The version of the newest change to the resource; None
+        if unknown.
     """
 
     kind: Kind
@@ -40,5 +41,5 @@
 
     @property
     def name(self) -> str:
-        """Return the resource's name."""
+        """The name of the resource."""
         return self.metadata.name
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/schema.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/schema.py
@@ -1,4 +1,4 @@
-"""JSON schemas of the declared classes."""
+"""JSON schemas of the resource classes."""
 
 import typing
 from typing import Any
@@ -28,7 +28,7 @@
 
 
 def resource_schema(kind: Kind) -> Schema:
-    """Return the JSON schema of a resource of a kind."""
+    """Return the JSON schema of a resource kind."""
     properties = {
         "apiVersion": {"const": API_VERSION},
         "kind": {"const": str(kind)},
@@ -52,7 +52,7 @@
 
 
 def declared_schema(declared: type[Any]) -> Schema:
-    """Return the JSON schema of a declared class."""
+    """Return the JSON schema of a spec or metadata class."""
     types = typing.get_type_hints(declared)
     fields = attrs.fields(declared)
     schema: Schema = {
@@ -74,7 +74,7 @@
 
 
 def key_schema(field: "attrs.Attribute[Any]", annotation: Any) -> Schema:
-    """Return the JSON schema of one key."""
+    """Return the JSON schema of a declared key."""
     schema: Schema = {
         **TYPE_SCHEMAS[annotation],
         "description": field.metadata["help"],
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/stored.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/stored.py
@@ -1,4 +1,4 @@
-"""Reads specs back from the store, also those of other releases."""
+"""Reads specs from the store, including those of other releases."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 def stored_spec(kind: Kind, spec: Any) -> Spec | None:
-    """Return a spec from the store; None if this release can't read it."""
+    """Return a spec from the store; None if this release cannot read it."""
     try:
         found: Spec = LENIENT.structure(spec, SPEC_CLASSES[kind])
     except (cattrs.BaseValidationError, TypeError, AttributeError, ValueError):
@@ -24,14 +24,17 @@
 def stored_policy_value(
     kind: str, name: str, document: Mapping[str, Any]
 ) -> PolicyValue | None:
-    """Return the policy's value of a stored resource.
+    """Return the policy value of a stored resource.
 
-    Keys that this release does not know are passed over.
+    Keys that this release does not know are ignored.
 
     Args:
-      kind: The resource's kind.
-      name: Its name.
-      document: Its row, with the key `spec`.
+      kind: The kind of the resource.
+      name: The name of the resource.
+      document: The stored row, with the key `spec`.
+
+    Returns:
+      The policy value; None if this release cannot read the resource.
     """
     resource_kind = kind_from_name(kind)
     if resource_kind is None:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/validate.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/validate.py
@@ -1,4 +1,4 @@
-"""Checks a declared class against JSON, naming path and value."""
+"""Builds spec and metadata objects from JSON and reports all problems."""
 
 import re
 from collections.abc import Iterator
@@ -21,12 +21,12 @@
 def structure_validated(
     value: Any, declared: type[T], path: str
 ) -> T | Invalid:
-    """Return an instance of a declared class, or what is wrong.
+    """Return an instance of a class, or the validation errors.
 
     Args:
-      value: The JSON value.
-      declared: The class to build.
-      path: Where the value stands in its document.
+      value: The decoded JSON value.
+      declared: The attrs class to instantiate.
+      path: The path of the value in its document.
     """
     if not isinstance(value, dict):
         return Invalid((Problem(path, "must be an object", value),))
@@ -41,7 +41,7 @@
 def conversion_problems(
     error: ClassValidationError, value: dict[str, Any], path: str
 ) -> Iterator[Problem]:
-    """Yield a problem for each error that cattrs collected."""
+    """Yield a problem for each validation error reported by cattrs."""
     for inner in error.exceptions:
         if isinstance(inner, ForbiddenExtraKeysError):
             for name in sorted(inner.extra_fields):
@@ -55,7 +55,11 @@
 
 
 def attribute_name(error: BaseException) -> str:
-    """Return the attribute that an error of cattrs is about."""
+    """Return the name of the attribute that a cattrs error refers to.
+
+    Returns:
+      The name; `?` if the error has no attribute note.
+    """
     for note in getattr(error, "__notes__", ()):
         if isinstance(note, AttributeValidationNote):
             return note.name
@@ -63,7 +67,7 @@
 
 
 def bound_problems(instance: Any, path: str) -> Iterator[Problem]:
-    """Yield a problem for each value outside its declared bounds."""
+    """Yield a problem for each value that violates its declared limits."""
     for field in attrs.fields(type(instance)):
         value = getattr(instance, field.name)
         message = bound_message(value, field.metadata)
@@ -72,7 +76,7 @@
 
 
 def bound_message(value: Any, rules: Any) -> str:
-    """Return which bound a value breaks; empty if none."""
+    """Return a message on the first violated limit; empty if none."""
     if value is None:
         return ""
     if rules["minimum"] is not None and value < rules["minimum"]:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/caller_login.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/caller_login.py
@@ -1,11 +1,11 @@
-"""A user name and password that callers may log in with."""
+"""Login credentials of callers."""
 
 import attrs
 
 
 @attrs.frozen
 class CallerLogin:
-    """One login of callers.
+    """A user name and password that callers can log in with.
 
     Attributes:
       user: The user name.
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/declare.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/declare.py
@@ -1,4 +1,4 @@
-"""Declares one settings key with its default, help and bounds."""
+"""Declaration of a settings key with its default, help and limits."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -20,15 +20,16 @@
     """Return the attrs field of a settings key.
 
     Args:
-      help_text: What the key sets, with its unit.
-      default: The value where the key is absent; none makes it required.
-      minimum: The least allowed number.
-      maximum: The greatest allowed number.
-      choices: The allowed strings; empty allows any.
+      help_text: The description of the key, including its unit.
+      default: The value used if the key is absent; without a default the key
+        is required.
+      minimum: The smallest allowed number.
+      maximum: The largest allowed number.
+      choices: The allowed strings; empty allows any string.
       secret: Whether the value must not be printed.
-      not_empty: Whether an empty string or list is refused.
-      minimum_length: The least characters of the string, or of each string
-        in the list.
+      not_empty: Whether to reject an empty string or list.
+      minimum_length: The minimum number of characters of the string, or of
+        each string in the list.
     """
     metadata = {
         "help": help_text,
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/explain.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/explain.py
@@ -1,4 +1,4 @@
-"""Writes the reference of the settings keys."""
+"""Generates the reference of the settings keys."""
 
 import typing
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 def explain_settings() -> str:
-    """Return the reference of all keys as a Markdown table."""
+    """Return the reference of all settings keys as a Markdown table."""
     lines = ["| key | type | default | meaning |", "|---|---|---|---|"]
     types = typing.get_type_hints(Settings)
     for field in setting_fields():
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/loader.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads settings from JSON and checks every key."""
+"""Loads settings from JSON and validates every key."""
 
 import json
 import pathlib
@@ -13,11 +13,11 @@
 
 @attrs.frozen
 class SettingsErrors:
-    """What is wrong with a settings file.
+    """The validation errors of a settings file.
 
     Attributes:
-      source: The file's path, or another name of where the text came from.
-      errors: One sentence for each wrong, unknown or missing key.
+      source: The path of the file, or another name for the source of the text.
+      errors: One message for each invalid, unknown or missing key.
     """
 
     source: str
@@ -28,14 +28,14 @@
 
 
 class _InvalidValueError(Exception):
-    """A value does not fit its key."""
+    """Raised if a value is not valid for its key."""
 
 
 def load_settings(path: pathlib.Path) -> Settings | SettingsErrors:
-    """Return the settings in a JSON file, or what is wrong with it.
+    """Return the settings in a JSON file, or its validation errors.
 
     Args:
-      path: The file.
+      path: The path of the file.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -45,11 +45,11 @@
 
 
 def parse_settings(text: str, source: str) -> Settings | SettingsErrors:
-    """Return the settings in a JSON text, or what is wrong with it.
+    """Return the settings in a JSON document, or its validation errors.
 
     Args:
-      text: A JSON object.
-      source: Where the text came from, for messages.
+      text: The JSON document.
+      source: The name of the source of the text, for error messages.
     """
     try:
         document = json.loads(text)
@@ -107,7 +107,9 @@
 
 def _convert_login(value: Any) -> CallerLogin:
     if not isinstance(value, dict) or set(value) != {"user", "password"}:
-        raise _InvalidValueError("has an entry without just user and password")
+        raise _InvalidValueError(
+            "has an entry whose keys are not exactly user and password"
+        )
     if not all(isinstance(item, str) for item in value.values()):
         raise _InvalidValueError("has a user or password that is not a string")
     return CallerLogin(**value)
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/settings.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/settings.py
@@ -1,4 +1,4 @@
-"""Every settings key of a proxy, declared once."""
+"""Declarations of all settings keys of a proxy."""
 
 from typing import Any
 
@@ -15,8 +15,8 @@
 class Settings:
     """The settings of one proxy process.
 
-    Attributes are the keys of the JSON file; `jackdawcrankctl settings
-    explain` prints their help.
+    Each attribute is a key of the JSON file. `jackdawcrankctl settings
+    explain` prints the description of every key.
     """
 
     vm: str = key("Name of this VM, unique in the system.", not_empty=True)
@@ -130,5 +130,5 @@
 
 
 def setting_fields() -> tuple["attrs.Attribute[Any]", ...]:
-    """Return the declared keys in order."""
+    """Return the attrs fields of all keys in declaration order."""
     return attrs.fields(Settings)
--- a/packages/jackdawcrank-wire/tests/settings/test_loader.py
+++ b/packages/jackdawcrank-wire/tests/settings/test_loader.py
@@ -59,7 +59,7 @@
         ("token_keys", "k", "token_keys: is not a list"),
         ("token_keys", ["k"], "token_keys: is shorter than 16 characters"),
         ("peer_secret", "s", "peer_secret: is shorter than 16 characters"),
-        ("callers", [{"user": "a"}], "callers: has an entry without just"),
+        ("callers", [{"user": "a"}], "callers: has an entry whose keys are"),
         ("callers_port", 1, "callers_port: unknown key"),
         ("vm", "", "vm: is empty"),
     ],
