--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/__init__.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between proxies."""
+"""Messages exchanged between proxies."""
 
 from jackdawcrank_wire.messages.aged_report import AgedReport
 from jackdawcrank_wire.messages.answer import Answer
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/aged_report.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/aged_report.py
@@ -1,4 +1,4 @@
-"""A backend server's report with its age."""
+"""A status report of a backend server with its age."""
 
 import attrs
 
@@ -7,12 +7,12 @@
 
 @attrs.frozen
 class AgedReport:
-    """What a backend server said of itself some time ago.
+    """The result of a status probe of a backend server.
 
     Attributes:
-      report: The report.
-      age_seconds: The time since before the probe was sent, measured by the
-        observer when it sent this message.
+      report: The status that the server reported.
+      age_seconds: The age of the report in seconds, measured by the observer
+        from just before it sent the probe until it sent this message.
     """
 
     report: ServerReport
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/answer_end.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/answer_end.py
@@ -7,12 +7,13 @@
 
 @attrs.frozen
 class AnswerEnd:
-    """Says that every chunk of a result was sent.
+    """Marks the end of a result that was sent in chunks.
 
     Attributes:
-      request_number: The number of the request that it answers.
-      row_count: The rows of the whole result, those of `Answer` included.
-      error: Why the result broke off; None if it is whole.
+      request_number: The number of the request that this message answers.
+      row_count: The number of rows in the whole result, including those in
+        the `Answer`.
+      error: The error that interrupted the result; None if it is complete.
     """
 
     request_number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/ask_evidence.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/ask_evidence.py
@@ -1,15 +1,16 @@
-"""A question about a group's primary."""
+"""A request for evidence about the primary of a group."""
 
 import attrs
 
 
 @attrs.frozen
 class AskEvidence:
-    """Asks what the peer has seen of a group's primary.
+    """Requests the peer's evidence about the primary of a group.
 
     Attributes:
-      request_number: The sender's number of the request on this stream.
-      group: The database group.
+      request_number: The number that the sender assigned to the request;
+        unique on this stream.
+      group: The name of the database group.
     """
 
     request_number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/cancel.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/cancel.py
@@ -1,14 +1,14 @@
-"""The end of interest in an answer."""
+"""The cancellation of a request."""
 
 import attrs
 
 
 @attrs.frozen
 class Cancel:
-    """Says that nobody waits for the answer to a request any more.
+    """Announces that the sender no longer waits for an answer.
 
     Attributes:
-      request_number: The number of the request.
+      request_number: The number of the cancelled request.
     """
 
     request_number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/challenge.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/challenge.py
@@ -1,14 +1,16 @@
-"""The challenge that an accepting end sends first."""
+"""The challenge that starts the authentication of a stream."""
 
 import attrs
 
 
 @attrs.frozen
 class Challenge:
-    """Asks the dialing end to prove that it knows the shared secret.
+    """Requests proof that the connecting peer knows the shared secret.
+
+    The accepting peer sends it as the first message of a stream.
 
     Attributes:
-      nonce: Random bytes, new for each connection.
+      nonce: Random bytes, generated for each connection.
     """
 
     nonce: bytes
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/changes_request.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/changes_request.py
@@ -5,12 +5,13 @@
 
 @attrs.frozen
 class ChangesRequest:
-    """Asks a peer for the changes above a version.
+    """Requests the configuration changes after a version.
 
     Attributes:
-      request_number: The sender's number of the request on this stream.
+      request_number: The number that the sender assigned to the request;
+        unique on this stream.
       after: The newest version that the sender has applied.
-      limit: The most changes that one answer may hold.
+      limit: The maximum number of changes in the response.
     """
 
     request_number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/chunk_credit.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/chunk_credit.py
@@ -1,15 +1,15 @@
-"""Flow control of large results."""
+"""Credit-based flow control of large results."""
 
 import attrs
 
 
 @attrs.frozen
 class ChunkCredit:
-    """Allows the sender of a large result to send more chunks.
+    """Grants the sender of a large result credit for more chunks.
 
     Attributes:
-      request_number: The number of the request that is being answered.
-      chunks: How many more chunks may be sent.
+      request_number: The number of the request that the result answers.
+      chunks: The number of additional chunks that may be sent.
     """
 
     request_number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/closing.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/closing.py
@@ -1,17 +1,18 @@
-"""The orderly end of a stream."""
+"""The graceful shutdown of a stream."""
 
 import attrs
 
 
 @attrs.frozen
 class Closing:
-    """Says that the sender takes no more requests on this stream.
+    """Announces that the sender accepts no more requests on this stream.
 
-    Requests up to a number are still answered; those above it reach no
-    handler.
+    Requests up to `last_request_number` are still answered; later requests
+    are not passed to a handler.
 
     Attributes:
-      last_request_number: The newest request that is or was handled.
+      last_request_number: The number of the last request that was received
+        before the shutdown.
     """
 
     last_request_number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/column_info.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/column_info.py
@@ -5,19 +5,19 @@
 
 @attrs.frozen
 class ColumnInfo:
-    """A column as the MySQL protocol describes it.
+    """A column definition of the MySQL protocol.
 
     Attributes:
-      name: The column's name or alias.
+      name: The name or alias of the column.
       type_code: The MySQL type code.
-      charset: The character set's number.
+      charset: The number of the MySQL character set.
       flags: The MySQL column flags.
-      decimals: The digits after the decimal point.
+      decimals: The number of digits after the decimal point.
       length: The display length in bytes.
-      table: The table's name or alias; empty for an expression.
-      original_name: The column's name in the table.
-      original_table: The table's own name.
-      database: The database of the table.
+      table: The name or alias of the table; empty for an expression.
+      original_name: The name of the column in the table.
+      original_table: The name of the table without alias.
+      database: The database that contains the table.
     """
 
     name: str
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/config_version.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/config_version.py
@@ -1,14 +1,14 @@
-"""The sender's newest configuration version."""
+"""The configuration version of the sender."""
 
 import attrs
 
 
 @attrs.frozen
 class ConfigVersion:
-    """Says which configuration version is in force at the sender.
+    """Announces the configuration version in force at the sender.
 
     Attributes:
-      version: The number of the newest change applied there.
+      version: The version of the newest change that the sender has applied.
     """
 
     version: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/evidence_answer.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/evidence_answer.py
@@ -1,22 +1,23 @@
-"""What a peer has seen of a group's primary."""
+"""A peer's evidence about the primary of a group."""
 
 import attrs
 
 
 @attrs.frozen
 class EvidenceAnswer:
-    """Answers an `AskEvidence`.
+    """The response to an `AskEvidence` message.
 
     Attributes:
-      request_number: The number of the request that it answers.
-      group: The database group.
-      primary: The primary's server name as the peer knows it.
-      term: The newest term that the peer knows.
-      last_ok_age_seconds: How long ago the primary last answered the peer;
-        None if it never did.
-      suspects: Whether the peer takes the primary for unreachable.
-      health: How the primary looks to the peer, in the words of coordination.
-      coordinating: Whether the peer drives a promotion of the group.
+      request_number: The number of the request that this message answers.
+      group: The name of the database group.
+      primary: The server name of the primary known to the responder.
+      term: The newest term known to the responder.
+      last_ok_age_seconds: The time in seconds since the primary last answered
+        the responder; None if it never did.
+      suspects: Whether the responder suspects that the primary is unreachable.
+      health: The responder's view of the primary, as a health state of the
+        coordination code.
+      coordinating: Whether the responder coordinates a promotion of the group.
     """
 
     request_number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/execute.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/execute.py
@@ -7,10 +7,11 @@
 
 @attrs.frozen
 class Execute:
-    """Asks a home proxy to run a statement.
+    """Requests that a home proxy run a statement.
 
     Attributes:
-      request_number: The sender's number of the request on this stream.
+      request_number: The number that the sender assigned to the request;
+        unique on this stream.
       statement: The statement and its options.
     """
 
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/give_up_lease.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/give_up_lease.py
@@ -1,16 +1,18 @@
-"""A request to give up a term lease."""
+"""A request to release a term lease."""
 
 import attrs
 
 
 @attrs.frozen
 class GiveUpLease:
-    """Asks a writer to give up its lease on a term of a group.
+    """Requests that a writer release its lease on a term of a group.
 
     Attributes:
-      request_number: The sender's number of the request on this stream.
-      group: The database group.
-      term: The term that is being prepared; leases of lower terms end.
+      request_number: The number that the sender assigned to the request;
+        unique on this stream.
+      group: The name of the database group.
+      term: The term that is being prepared; leases on lower terms are
+        released.
     """
 
     request_number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/hello.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/hello.py
@@ -1,4 +1,4 @@
-"""The first message of each end of an authenticated stream."""
+"""The first message of each peer on an authenticated stream."""
 
 import attrs
 
@@ -7,13 +7,13 @@
 
 @attrs.frozen
 class Hello:
-    """What one end of a stream says of itself.
+    """The identity and the versions of the sender.
 
     Attributes:
-      vm: The sender's VM.
-      boot: The id of the sender's process, new at each start.
-      protocol_version: The newest protocol version that the sender speaks.
-      config_version: The newest configuration version in force there.
+      vm: The VM of the sender.
+      boot: The id of the sender's process, generated at each start.
+      protocol_version: The newest protocol version that the sender supports.
+      config_version: The configuration version in force at the sender.
     """
 
     vm: str
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/lease_given_up.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/lease_given_up.py
@@ -1,16 +1,16 @@
-"""The acknowledgement of a `GiveUpLease`."""
+"""The response to a `GiveUpLease` message."""
 
 import attrs
 
 
 @attrs.frozen
 class LeaseGivenUp:
-    """Says that the sender holds no lease below a term any more.
+    """Confirms that the sender no longer has a lease below a term.
 
     Attributes:
-      request_number: The number of the request that it answers.
-      group: The database group.
-      term: The term below which no lease is held.
+      request_number: The number of the request that this message answers.
+      group: The name of the database group.
+      term: The term below which the sender has no lease.
     """
 
     request_number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/leaving.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/leaving.py
@@ -1,14 +1,14 @@
-"""The announcement of a proxy that shuts down."""
+"""The announcement that a proxy is shutting down."""
 
 import attrs
 
 
 @attrs.frozen
 class Leaving:
-    """Says that a VM stops being a home proxy.
+    """Announces that a VM no longer serves as a home proxy.
 
     Attributes:
-      vm: The VM that leaves.
+      vm: The VM that is leaving.
     """
 
     vm: str
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/message.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/message.py
@@ -1,4 +1,4 @@
-"""Every message type and its number on the wire."""
+"""The message types and their numbers in the protocol."""
 
 from jackdawcrank_wire.messages.answer import Answer
 from jackdawcrank_wire.messages.answer_end import AnswerEnd
@@ -50,7 +50,7 @@
     | RequestFailed
 )
 
-# A number is never reused, since peers of two versions talk to each other.
+# Numbers are never reused, because peers of different versions communicate.
 MESSAGE_TYPES: dict[int, type[Message]] = {
     1: Challenge,
     2: Proof,
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/ping.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/ping.py
@@ -5,10 +5,10 @@
 
 @attrs.frozen
 class Ping:
-    """Asks for a `Pong` at once.
+    """Requests an immediate `Pong`.
 
     Attributes:
-      number: Returned by the answer.
+      number: A number that the `Pong` returns.
     """
 
     number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/pong.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/pong.py
@@ -1,11 +1,11 @@
-"""The answer to a liveness probe."""
+"""The response to a liveness probe."""
 
 import attrs
 
 
 @attrs.frozen
 class Pong:
-    """Answers a `Ping`.
+    """The response to a `Ping`.
 
     Attributes:
       number: The number of the `Ping`.
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/proof.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/proof.py
@@ -5,13 +5,15 @@
 
 @attrs.frozen
 class Proof:
-    """Answers a challenge.
+    """The response to a challenge.
 
     Attributes:
-      vm: The sender's VM.
+      vm: The VM of the sender.
       boot: The id of the sender's process.
-      nonce: The dialing end's own challenge; empty in the answer to it.
-      digest: The HMAC-SHA256 over the role, both nonces, VM and boot id.
+      nonce: The challenge of the connecting peer; empty in the proof sent by
+        the accepting peer.
+      digest: The HMAC-SHA256 of the role, both nonces, the sender's VM and boot
+        id, and the VM of the receiver.
     """
 
     vm: str
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/refused.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/refused.py
@@ -1,4 +1,4 @@
-"""A request that the peer's stream layer did not pass on."""
+"""The rejection of a request by the peer's stream layer."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request reached no handler."""
+    """The reason why a request was not passed to a handler."""
 
     OVERLOADED = "overloaded"
     SHUTTING_DOWN = "shutting_down"
@@ -15,13 +15,15 @@
 
 @attrs.frozen
 class Refused:
-    """Says that no handler saw the request.
+    """Reports that a request was not passed to a handler.
+
+    The request has therefore had no effect.
 
     Attributes:
       request_number: The number of the request.
-      reason: Why it was not passed on.
-      message_number: The type of the request; a refusal of another type than
-        the request's own is no answer to it.
+      reason: The reason for the rejection.
+      message_number: The number of the request's message type. A refusal whose
+        type differs from that of the request is not an answer to it.
     """
 
     request_number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/replica_positions.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/replica_positions.py
@@ -1,4 +1,4 @@
-"""The coordinator's view of a group's replicas."""
+"""The positions of a group's servers known to the coordinator."""
 
 import attrs
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen
 class ReplicaPositions:
-    """Tells a home proxy how far a group's servers are.
+    """Reports the log positions of a group's servers to a home proxy.
 
     Attributes:
-      group: The database group.
-      reports: The newest report of each server.
+      group: The name of the database group.
+      reports: The newest status report of each server.
     """
 
     group: str
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/request_failed.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/request_failed.py
@@ -1,17 +1,17 @@
-"""A request whose handler broke down."""
+"""The failure of a request after it was passed to its handler."""
 
 import attrs
 
 
 @attrs.frozen
 class RequestFailed:
-    """Says that a request will get no other answer.
+    """Reports that a request gets no other answer.
 
-    Its handler saw it, so it may have had an effect.
+    The request was passed to its handler, so it may have had an effect.
 
     Attributes:
       request_number: The number of the request.
-      detail: A sentence for people.
+      detail: A human-readable description of the failure.
     """
 
     request_number: int
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/result_error.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/result_error.py
@@ -1,4 +1,4 @@
-"""The failure of a statement."""
+"""The result of a statement that did not succeed."""
 
 import attrs
 
@@ -7,17 +7,19 @@
 
 @attrs.frozen
 class ResultError:
-    """A statement did not succeed.
+    """An error result.
 
     Attributes:
-      outcome: Whether it ran.
-      reason: A short machine-readable reason.
+      outcome: The effect that the statement had.
+      reason: A machine-readable reason.
       code: The MySQL error code.
       sqlstate: The five-character SQLSTATE.
-      message: A sentence for people.
-      retry_after_ms: When to try again; None where that is no help.
-      in_transaction: Whether the session has an open transaction after it.
-      transaction_id: The open transaction on the home proxy, if any.
+      message: A human-readable error message.
+      retry_after_ms: The time in milliseconds after which to retry; None if
+        retrying does not help.
+      in_transaction: Whether the session has an open transaction afterwards.
+      transaction_id: The id of the open transaction on the home proxy; empty
+        for none.
     """
 
     outcome: StatementOutcome
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/result_ok.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/result_ok.py
@@ -1,4 +1,4 @@
-"""The success of a statement that returned no rows."""
+"""The result of a successful statement that returned no rows."""
 
 import attrs
 
@@ -7,17 +7,19 @@
 
 @attrs.frozen
 class ResultOk:
-    """A statement ran and returned no rows.
+    """A success result without rows.
 
     Attributes:
-      affected_rows: The number of rows that it changed.
-      last_insert_id: The id that it generated; 0 for none.
-      position: The log position of its effect, if it committed one.
-      in_transaction: Whether the session has an open transaction after it.
-      transaction_id: The open transaction on the home proxy, if any.
+      affected_rows: The number of rows that the statement changed.
+      last_insert_id: The id that the statement generated; 0 for none.
+      position: The log position of the committed change; None if the statement
+        committed none.
+      in_transaction: Whether the session has an open transaction afterwards.
+      transaction_id: The id of the open transaction on the home proxy; empty
+        for none.
       warnings: The number of warnings.
-      info: The backend server's info text.
-      server: The backend server that answered.
+      info: The info text of the backend server.
+      server: The name of the backend server that ran the statement.
     """
 
     affected_rows: int = 0
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/result_rows.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/result_rows.py
@@ -1,4 +1,4 @@
-"""The rows that a statement returned."""
+"""The result of a statement that returned rows."""
 
 import attrs
 
@@ -14,15 +14,17 @@
     """A result set, or the first part of a large one.
 
     Attributes:
-      columns: The columns' descriptions.
-      rows: Rows in the text protocol's form; None is NULL.
-      position: The log position that the answer reflects, if known.
-      in_transaction: Whether the session has an open transaction after it.
-      transaction_id: The open transaction on the home proxy, if any.
+      columns: The column definitions.
+      rows: Rows in the format of the MySQL text protocol; None is NULL.
+      position: The log position that the result reflects; None if unknown.
+      in_transaction: Whether the session has an open transaction afterwards.
+      transaction_id: The id of the open transaction on the home proxy; empty
+        for none.
       warnings: The number of warnings.
-      server: The backend server that answered.
-      complete: Whether `rows` holds every row; else chunks follow.
-      term: The term under which the server was chosen.
+      server: The name of the backend server that ran the statement.
+      complete: Whether `rows` contains every row; otherwise `RowsChunk`
+        messages follow.
+      term: The term in which the server was chosen.
     """
 
     columns: tuple[ColumnInfo, ...]
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/rows_chunk.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/rows_chunk.py
@@ -1,4 +1,4 @@
-"""A further part of a large result."""
+"""A subsequent part of a large result."""
 
 import attrs
 
@@ -7,10 +7,10 @@
 
 @attrs.frozen
 class RowsChunk:
-    """More rows of a result whose `Answer` was not complete.
+    """Further rows of a result whose `Answer` was not complete.
 
     Attributes:
-      request_number: The number of the request that it answers.
+      request_number: The number of the request that this message answers.
       rows: The next rows, in order.
     """
 
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/statement_kind.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/statement_kind.py
@@ -1,10 +1,10 @@
-"""What a statement does, as far as the proxy has to know."""
+"""The kinds of statements that the proxy distinguishes."""
 
 import enum
 
 
 class StatementKind(enum.StrEnum):
-    """How a home proxy treats a statement."""
+    """The kind of a statement, which determines how a proxy runs it."""
 
     READ = "read"
     WRITE = "write"
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/statement_outcome.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/statement_outcome.py
@@ -1,10 +1,10 @@
-"""What became of a statement that did not succeed."""
+"""The outcome of a statement that did not succeed."""
 
 import enum
 
 
 class StatementOutcome(enum.StrEnum):
-    """What an error says of the statement's effect."""
+    """The effect of a statement that returned an error."""
 
     NOT_RUN = "not_run"
     FAILED = "failed"
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/statement_request.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/statement_request.py
@@ -1,4 +1,4 @@
-"""A statement that an entry proxy hands to a home proxy."""
+"""A statement that an entry proxy forwards to a home proxy."""
 
 import attrs
 
@@ -7,31 +7,34 @@
 
 @attrs.frozen
 class StatementRequest:
-    """One statement of a caller, with its options.
+    """A statement of a caller with its execution options.
 
     Attributes:
-      group: The database group that it addresses.
+      group: The name of the database group that the statement addresses.
       sql: The statement as the caller sent it.
       caller: The user name that the caller logged in with.
-      caller_class: The caller's class.
-      session_id: The caller's connection, unique over all VMs.
-      transaction_id: The session's open transaction on the home proxy; empty
-        for a statement of its own.
-      token: The position of the group that the session has seen, written as
-        `term:offset`; empty for none.
-      max_age_ms: The age in milliseconds that a read may have; None where the
-        caller stated none.
-      request_id: The caller's id of a write; empty for none.
+      caller_class: The name of the caller's class.
+      session_id: The id of the caller's connection, unique across all VMs.
+      transaction_id: The id of the session's open transaction on the home
+        proxy; empty if the statement is not part of a transaction.
+      token: The newest position of the group that the session has observed,
+        as `term:offset`; empty for none.
+      max_age_ms: The maximum age of the data that a read may return, in
+        milliseconds; None if the caller set no limit.
+      request_id: The request id that the caller assigned to a write; empty for
+        none.
       repeatable: Whether the statement may be run a second time.
-      deadline_ms: The time that remains, in milliseconds, since the clocks of
-        two VMs differ.
-      kind: What the statement does.
+      deadline_ms: The time left until the deadline, in milliseconds. It is
+        relative because the clocks of two VMs differ.
+      kind: The kind of the statement.
       last_server: The backend server of the session's last read; empty for
         none.
-      last_read_age_ms: The time since that read ended, in milliseconds.
-      last_read_term: The term under which that server was chosen.
-      setup: Statements that set the session's variables, to run before it.
-      begun: Whether the session's transaction is open on the home already.
+      last_read_age_ms: The time since the last read ended, in milliseconds;
+        None if there was none.
+      last_read_term: The term in which that server was chosen.
+      setup: Statements that set session variables before the statement runs.
+      begun: Whether the session's transaction is already open on the home
+        proxy.
     """
 
     group: str
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/statement_result.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/statement_result.py
@@ -1,4 +1,4 @@
-"""The answer to a statement."""
+"""The result of a statement."""
 
 from jackdawcrank_wire.messages.result_error import ResultError
 from jackdawcrank_wire.messages.result_ok import ResultOk
