--- a/packages/jackdawcrank-wire/tests/codec/test_codecs.py
+++ b/packages/jackdawcrank-wire/tests/codec/test_codecs.py
@@ -1,4 +1,4 @@
-"""What every codec does."""
+"""Tests that apply to every codec."""
 
 import attrs
 import pytest
--- a/packages/jackdawcrank-wire/tests/codec/test_msgpack_codec.py
+++ b/packages/jackdawcrank-wire/tests/codec/test_msgpack_codec.py
@@ -1,4 +1,4 @@
-"""The msgpack form, as two versions of the program see it."""
+"""Tests of the msgpack codec, including compatibility between versions."""
 
 import typing
 
@@ -68,10 +68,10 @@
 @pytest.mark.parametrize(
     "fields",
     [
-        pytest.param(["7"], id="text in place of a number"),
-        pytest.param([True], id="truth value in place of a number"),
-        pytest.param([7.0], id="float in place of a number"),
-        pytest.param([None], id="nothing in place of a number"),
+        pytest.param(["7"], id="string instead of a number"),
+        pytest.param([True], id="boolean instead of a number"),
+        pytest.param([7.0], id="float instead of an integer"),
+        pytest.param([None], id="null instead of a number"),
     ],
 )
 def test_a_field_of_another_type_is_malformed(
--- a/packages/jackdawcrank-wire/tests/events/test_json_lines.py
+++ b/packages/jackdawcrank-wire/tests/events/test_json_lines.py
@@ -1,4 +1,4 @@
-"""The time line as JSON lines."""
+"""Tests of the conversion of timeline events to and from JSON lines."""
 
 import collections.abc
 import json
@@ -30,7 +30,7 @@
 
 
 def test_a_kind_of_a_newer_version_is_kept(make_event: EventFactory) -> None:
-    event = make_event("a", 1, 1.0, "kind_of_tomorrow")
+    event = make_event("a", 1, 1.0, "kind_of_a_newer_version")
     assert event_from_dict(event_to_dict(event)) == event
 
 
--- a/packages/jackdawcrank-wire/tests/events/test_merge.py
+++ b/packages/jackdawcrank-wire/tests/events/test_merge.py
@@ -1,4 +1,4 @@
-"""The order of many VMs' events."""
+"""Tests of merging the events of several VMs."""
 
 import collections.abc
 import random
--- a/packages/jackdawcrank-wire/tests/events/test_trace_events.py
+++ b/packages/jackdawcrank-wire/tests/events/test_trace_events.py
@@ -1,4 +1,4 @@
-"""The time line in the trace-event format."""
+"""Tests of the conversion of the timeline to the trace-event format."""
 
 import collections.abc
 import json
--- a/packages/jackdawcrank-wire/tests/framing/test_frame_writer.py
+++ b/packages/jackdawcrank-wire/tests/framing/test_frame_writer.py
@@ -1,4 +1,4 @@
-"""Writing of frames over a loopback connection."""
+"""Tests of the frame writer over a loopback connection."""
 
 import asyncio
 import collections.abc
--- a/packages/jackdawcrank-wire/tests/framing/test_framing.py
+++ b/packages/jackdawcrank-wire/tests/framing/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames over a stream reader that is fed by hand."""
+"""Tests of the frame reader with data fed directly to its stream."""
 
 import asyncio
 
@@ -37,7 +37,9 @@
     for _ in range(len(garbage) + 1):
         if isinstance(await reader.read(), StreamEnd):
             return
-    raise AssertionError("more frames than bytes")
+    raise AssertionError(
+        "the reader returned more frames than there were bytes"
+    )
 
 
 @pytest.mark.parametrize("length", [0, 101, 2**32 - 1])
--- a/packages/jackdawcrank-wire/tests/messages/test_message.py
+++ b/packages/jackdawcrank-wire/tests/messages/test_message.py
@@ -1,4 +1,4 @@
-"""The numbers of messages, which peers of other versions rely on."""
+"""Tests of message numbers and field defaults, which other versions use."""
 
 import attrs
 import pytest
--- a/packages/jackdawcrank-wire/tests/resources/test_openapi.py
+++ b/packages/jackdawcrank-wire/tests/resources/test_openapi.py
@@ -1,4 +1,4 @@
-"""Tests of the generated OpenAPI page."""
+"""Tests of the generated OpenAPI description."""
 
 import pathlib
 
@@ -14,7 +14,7 @@
 
 def test_openapi_page_is_up_to_date() -> None:
     assert PAGE.read_text() == openapi_text(), (
-        "write it again: python -m jackdawcrank_wire.resources.openapi"
+        "outdated; regenerate: python -m jackdawcrank_wire.resources.openapi"
     )
 
 
--- a/packages/jackdawcrank-wire/tests/resources/test_parse.py
+++ b/packages/jackdawcrank-wire/tests/resources/test_parse.py
@@ -1,4 +1,4 @@
-"""Tests of validation of resources."""
+"""Tests of resource validation and conversion."""
 
 from typing import Any
 
--- a/packages/jackdawcrank-wire/tests/settings/test_loader.py
+++ b/packages/jackdawcrank-wire/tests/settings/test_loader.py
@@ -1,4 +1,4 @@
-"""Tests of reading and checking settings."""
+"""Tests of loading and validating settings."""
 
 import json
 import pathlib
--- a/packages/jackdawcrank-wire/tests/settings/test_reference_page.py
+++ b/packages/jackdawcrank-wire/tests/settings/test_reference_page.py
@@ -1,4 +1,4 @@
-"""Test that the settings page is the generated reference."""
+"""Test that the settings page contains the generated reference."""
 
 import pathlib
 
