--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/merge.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/merge.py
@@ -36,12 +36,15 @@
     """
     streams = split_streams(events)
     times = corrected_times(streams)
-    keyed = [
+    sortable_events = [
         (times[number][index], number, index, event)
         for number, stream in enumerate(streams)
         for index, event in enumerate(stream)
     ]
-    return [event for *_, event in sorted(keyed, key=lambda entry: entry[:3])]
+    return [
+        event
+        for *_, event in sorted(sortable_events, key=lambda entry: entry[:3])
+    ]
 
 
 def split_streams(
@@ -140,12 +143,12 @@
     Args:
       event: The event.
     """
-    found = []
+    event_counters = []
     if event.group and event.term:
-        found.append((f"term of {event.group}", event.term))
+        event_counters.append((f"term of {event.group}", event.term))
     if version := config_version(event):
-        found.append(("configuration", version))
-    return found
+        event_counters.append(("configuration", version))
+    return event_counters
 
 
 def config_version(event: TimelineEvent) -> int:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/openapi.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/openapi.py
@@ -191,10 +191,10 @@
             "description": ERROR_DESCRIPTIONS[status],
             "content": content({"$ref": "#/components/schemas/Error"}),
         }
-    found: Schema = {"summary": summary, "responses": responses}
+    operation_object: Schema = {"summary": summary, "responses": responses}
     if parameters:
-        found["parameters"] = parameters
-    return found
+        operation_object["parameters"] = parameters
+    return operation_object
 
 
 def parameter(name: str, location: str, kind: str, help_text: str) -> Schema:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/parse.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/parse.py
@@ -50,7 +50,7 @@
 
 def document_problems(document: dict[str, Any]) -> tuple[Problem, ...]:
     """Return the problems of the top-level keys of a document."""
-    found = [
+    key_problems = [
         Problem(name, "is not a known key")
         for name in document
         if name not in KNOWN_KEYS
@@ -58,12 +58,12 @@
     api_version = document.get("apiVersion")
     if api_version != API_VERSION:
         message = f"must be {API_VERSION}"
-        found.append(Problem("apiVersion", message, api_version))
+        key_problems.append(Problem("apiVersion", message, api_version))
     version = document.get("resourceVersion")
     if version is not None and type(version) is not int:
         message = "must be a whole number"
-        found.append(Problem("resourceVersion", message, version))
-    return tuple(found)
+        key_problems.append(Problem("resourceVersion", message, version))
+    return tuple(key_problems)
 
 
 def kind_from_name(name: Any) -> Kind | None:
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/stored.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/stored.py
@@ -15,10 +15,10 @@
 def stored_spec(kind: Kind, spec: Any) -> Spec | None:
     """Return a spec from the store; None if this release cannot read it."""
     try:
-        found: Spec = LENIENT.structure(spec, SPEC_CLASSES[kind])
+        parsed_spec: Spec = LENIENT.structure(spec, SPEC_CLASSES[kind])
     except (cattrs.BaseValidationError, TypeError, AttributeError, ValueError):
         return None
-    return found
+    return parsed_spec
 
 
 def stored_policy_value(
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/explain.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/explain.py
@@ -18,8 +18,8 @@
     for field in setting_fields():
         kind = _type_name(types[field.name])
         default = _default_text(field)
-        meaning = _description(field)
-        lines.append(f"| `{field.name}` | {kind} | {default} | {meaning} |")
+        description = _description(field)
+        lines.append(f"| `{field.name}` | {kind} | {default} | {description} |")
     return "\n".join(lines) + "\n"
 
 
--- a/packages/jackdawcrank-wire/tests/resources/test_parse.py
+++ b/packages/jackdawcrank-wire/tests/resources/test_parse.py
@@ -67,25 +67,25 @@
 def test_a_problem_names_path_and_value(
     kind: str, spec: Any, message: str
 ) -> None:
-    found = parse_resource(document(kind, spec))
-    assert isinstance(found, Invalid)
-    assert str(found).startswith(message)
+    result = parse_resource(document(kind, spec))
+    assert isinstance(result, Invalid)
+    assert str(result).startswith(message)
 
 
 @pytest.mark.parametrize("name", ["", "A", "a/b", "-a", "a" * 64, None, 3])
 def test_an_invalid_name_is_rejected(name: Any) -> None:
-    found = parse_resource(document("DatabaseGroup", {}, name))
-    assert isinstance(found, Invalid)
-    assert found.problems[0].path == "metadata.name"
+    result = parse_resource(document("DatabaseGroup", {}, name))
+    assert isinstance(result, Invalid)
+    assert result.problems[0].path == "metadata.name"
 
 
 def test_every_problem_is_reported_at_once() -> None:
-    bad = document("BackendServer", {"port": "x", "extra": 1}, "B")
-    bad["apiVersion"] = "v0"
-    bad["note"] = ""
-    found = parse_resource(bad)
-    assert isinstance(found, Invalid)
-    assert {problem.path for problem in found.problems} == {
+    invalid_document = document("BackendServer", {"port": "x", "extra": 1}, "B")
+    invalid_document["apiVersion"] = "v0"
+    invalid_document["note"] = ""
+    result = parse_resource(invalid_document)
+    assert isinstance(result, Invalid)
+    assert {problem.path for problem in result.problems} == {
         "note",
         "apiVersion",
         "metadata.name",
