--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/result_error.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/result_error.py
@@ -10,7 +10,7 @@
     """An error result.
 
     Attributes:
-      outcome: The effect that the statement had.
+      outcome: Whether the statement ran, as far as is known.
       reason: A machine-readable reason.
       code: The MySQL error code.
       sqlstate: The five-character SQLSTATE.
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/statement_outcome.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/messages/statement_outcome.py
@@ -4,7 +4,7 @@
 
 
 class StatementOutcome(enum.StrEnum):
-    """The effect of a statement that returned an error."""
+    """What is known about the effect of a statement with an error result."""
 
     NOT_RUN = "not_run"
     FAILED = "failed"
