--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/__init__.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/__init__.py
@@ -1,8 +1,8 @@
-"""Events of the time line and their forms outside a process."""
+"""Timeline events and their serialized forms."""
 
 from jackdawcrank_wire.events.event_kind import EventKind
 from jackdawcrank_wire.events.json_lines import (
-    BadEvent,
+    MalformedEvent,
     event_from_dict,
     event_to_dict,
     from_json_line,
@@ -13,7 +13,7 @@
 from jackdawcrank_wire.events.trace_events import to_trace_events
 
 __all__ = [
-    "BadEvent",
+    "MalformedEvent",
     "EventKind",
     "TimelineEvent",
     "event_from_dict",
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/merge.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/merge.py
@@ -1,4 +1,4 @@
-"""One ordered view of many VMs' events."""
+"""Merges the events of several VMs into one order."""
 
 import bisect
 import collections
@@ -9,45 +9,48 @@
 from jackdawcrank_wire.events.timeline_event import TimelineEvent
 
 MAX_CLOCK_SKEW_SECONDS = 2.0
-JUST_AFTER_SECONDS = 1e-6
+MIN_EVENT_SPACING_SECONDS = 1e-6
 MAX_PASSES = 5
 CONFIG_VERSION_DETAIL = "config_version"
 APPLIED_VERSION_DETAIL = "version"
 
 Stream = list[TimelineEvent]
 Times = list[list[float]]
-Place = tuple[int, int]
+EventIndex = tuple[int, int]
 
 
 def merge_events(
     events: collections.abc.Iterable[TimelineEvent],
 ) -> list[TimelineEvent]:
-    """Return events of many VMs in one order.
+    """Return the events of several VMs in one order without duplicates.
 
-    Within one process the sequence decides. Between processes the wall clock
-    decides, except where it can be told to be wrong: an event of a group's
-    lower term, or of a lower configuration version, comes before one of a
-    higher, as far as clocks may differ by `MAX_CLOCK_SKEW_SECONDS`. What is
-    further apart is taken for a VM that lags behind. An event that is given
-    twice appears once.
+    Events of one process are ordered by sequence number. Events of different
+    processes are ordered by wall clock time, with a correction for clock skew:
+    an event with a lower term of a group, or with a lower configuration
+    version, precedes an event with a higher one if their wall clock times
+    differ by at most `MAX_CLOCK_SKEW_SECONDS`. A larger difference is assumed
+    to come from a VM that lags behind, and the wall clock order is kept.
 
     Args:
       events: The events, in any order.
     """
     streams = split_streams(events)
     times = corrected_times(streams)
-    keyed = [
+    sortable_events = [
         (times[number][index], number, index, event)
         for number, stream in enumerate(streams)
         for index, event in enumerate(stream)
     ]
-    return [event for *_, event in sorted(keyed, key=lambda entry: entry[:3])]
+    return [
+        event
+        for *_, event in sorted(sortable_events, key=lambda entry: entry[:3])
+    ]
 
 
 def split_streams(
     events: collections.abc.Iterable[TimelineEvent],
 ) -> list[Stream]:
-    """Return each process's events by sequence, without repeats.
+    """Return the events of each process by sequence, without duplicates.
 
     Args:
       events: The events, in any order.
@@ -63,83 +66,93 @@
 
 
 def corrected_times(streams: list[Stream]) -> Times:
-    """Return each event's wall time, moved behind what must precede it.
+    """Return wall times adjusted to the order required by the counters.
 
-    Moving one event may call for moving others; hints that contradict each
-    other end after `MAX_PASSES`.
+    Moving one event can require moving others, so the adjustment is repeated
+    until no event moves. Counters that contradict each other may not
+    settle, so the number of passes is limited to `MAX_PASSES`.
 
     Args:
-      streams: Each process's events by sequence.
+      streams: The events of each process, ordered by sequence.
     """
-    counters = find_counters(streams)
+    counters = index_by_counter(streams)
     times = [[event.wall for event in stream] for stream in streams]
     for _ in range(MAX_PASSES):
-        times = [list(itertools.accumulate(walls, max)) for walls in times]
+        times = [
+            list(itertools.accumulate(wall_times, max)) for wall_times in times
+        ]
         moved = [
-            move_behind_lower(counter, times) for counter in counters.values()
+            move_after_lower_values(counter, times)
+            for counter in counters.values()
         ]
         if not any(moved):
             break
-    return [list(itertools.accumulate(walls, max)) for walls in times]
+    return [list(itertools.accumulate(wall_times, max)) for wall_times in times]
 
 
-def find_counters(streams: list[Stream]) -> dict[str, dict[int, list[Place]]]:
-    """Return the places of events by the counters and values they name.
+def index_by_counter(
+    streams: list[Stream],
+) -> dict[str, dict[int, list[EventIndex]]]:
+    """Return the indexes of events, grouped by counter name and value.
 
     Args:
-      streams: Each process's events by sequence.
+      streams: The events of each process, ordered by sequence.
     """
-    counters: dict[str, dict[int, list[Place]]]
+    counters: dict[str, dict[int, list[EventIndex]]]
     counters = collections.defaultdict(lambda: collections.defaultdict(list))
     for number, stream in enumerate(streams):
         for index, event in enumerate(stream):
-            for name, value in hints(event):
+            for name, value in ordering_counters(event):
                 counters[name][value].append((number, index))
     return counters
 
 
-def move_behind_lower(
-    places_by_value: dict[int, list[Place]], times: Times
+def move_after_lower_values(
+    indexes_by_value: dict[int, list[EventIndex]], times: Times
 ) -> bool:
-    """Move events behind those with lower values of one counter.
+    """Move events after those with lower values of one counter.
 
     Args:
-      places_by_value: The places of events by the counter's value.
-      times: Each event's time; changed in place.
+      indexes_by_value: The indexes of events, grouped by counter value.
+      times: The time of each event, in seconds; modified in place.
 
     Returns:
       Whether any event was moved.
     """
     moved = False
-    lower: list[float] = []
-    for _, places in sorted(places_by_value.items()):
-        for number, index in places:
-            own = times[number][index]
-            reach = bisect.bisect_right(lower, own + MAX_CLOCK_SKEW_SECONDS)
-            if reach and lower[reach - 1] >= own:
-                times[number][index] = lower[reach - 1] + JUST_AFTER_SECONDS
+    lower_times: list[float] = []
+    for _, indexes in sorted(indexes_by_value.items()):
+        for number, index in indexes:
+            event_time = times[number][index]
+            lower_count = bisect.bisect_right(
+                lower_times, event_time + MAX_CLOCK_SKEW_SECONDS
+            )
+            if lower_count and lower_times[lower_count - 1] >= event_time:
+                times[number][index] = (
+                    lower_times[lower_count - 1] + MIN_EVENT_SPACING_SECONDS
+                )
                 moved = True
-        for number, index in places:
-            bisect.insort(lower, times[number][index])
+        for number, index in indexes:
+            bisect.insort(lower_times, times[number][index])
     return moved
 
 
-def hints(event: TimelineEvent) -> list[tuple[str, int]]:
-    """Return the counters that order an event against other VMs' events.
+def ordering_counters(event: TimelineEvent) -> list[tuple[str, int]]:
+    """Return the counters that order an event relative to other VMs' events.
 
     Args:
       event: The event.
     """
-    found = []
+    event_counters = []
     if event.group and event.term:
-        found.append((f"term of {event.group}", event.term))
+        event_counters.append((f"term of {event.group}", event.term))
     if version := config_version(event):
-        found.append(("configuration", version))
-    return found
+        event_counters.append(("configuration", version))
+    return event_counters
 
 
 def config_version(event: TimelineEvent) -> int:
-    """Return the configuration version that an event names; 0 for none.
+    """Return the configuration version of an event; 0 if it has none.
 
     Args:
       event: The event.
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/trace_events.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/events/trace_events.py
@@ -1,4 +1,4 @@
-"""The time line in the form that browsers' trace viewers open."""
+"""Conversion of the timeline to the format of browser trace viewers."""
 
 import collections.abc
 import json
@@ -7,7 +7,7 @@
 from jackdawcrank_wire.events.timeline_event import TimelineEvent
 
 MICROSECONDS_PER_SECOND = 1_000_000
-NO_GROUP_ROW = "proxy"
+NO_GROUP_THREAD = "proxy"
 PROMOTION_START = "promotion_started"
 PROMOTION_ENDS = ("promotion_finished", "promotion_abandoned")
 
@@ -17,63 +17,71 @@
 def to_trace_events(events: collections.abc.Sequence[TimelineEvent]) -> str:
     """Return events as a JSON object in the trace-event format.
 
-    Each VM is shown as a process and each database group on it as a thread.
-    Every event is an instant; a promotion is a span from its start to its
-    end.
+    Each VM is represented as a process and each database group on it as a
+    thread. Every event is an instant event; a promotion is also a span from
+    its start to its end.
 
     Args:
-      events: The events, merged into one order.
+      events: The events in merged order.
     """
-    rows = TraceRows()
+    trace_ids = TraceIds()
     entries: list[Entry] = []
     for event in events:
-        entries.append(instant(event, rows))
-        entries.extend(span(event, rows))
-    return json.dumps({"traceEvents": rows.names() + entries})
+        entries.append(instant_entry(event, trace_ids))
+        entries.extend(span_entries(event, trace_ids))
+    return json.dumps({"traceEvents": trace_ids.metadata_entries() + entries})
 
 
-class TraceRows:
-    """Numbers of processes, threads and spans in a trace."""
+class TraceIds:
+    """Assigns the ids of processes, threads and spans in a trace."""
 
     def __init__(self) -> None:
         self.open_spans: dict[tuple[str, str], str] = {}
         self.processes: dict[str, int] = {}
         self.threads: dict[tuple[str, str], int] = {}
 
-    def place(self, event: TimelineEvent) -> Entry:
-        """Return the process and thread of an event.
+    def process_and_thread(self, event: TimelineEvent) -> Entry:
+        """Return the process id and the thread id of an event.
 
         Args:
           event: The event.
         """
         pid = self.processes.setdefault(event.vm, len(self.processes) + 1)
-        row = (event.vm, event.group or NO_GROUP_ROW)
-        tid = self.threads.setdefault(row, len(self.threads) + 1)
+        thread = (event.vm, event.group or NO_GROUP_THREAD)
+        tid = self.threads.setdefault(thread, len(self.threads) + 1)
         return {"pid": pid, "tid": tid}
 
     def begin_span(self, event: TimelineEvent) -> str:
-        """Return the id of a span that begins on an event's VM and group.
+        """Open a span on the VM and group of an event and return its id.
 
         Args:
-          event: The event.
+          event: The event that begins the span.
         """
         span_id = f"{event.group}/{event.term}"
         self.open_spans[event.vm, event.group] = span_id
         return span_id
 
     def end_span(self, event: TimelineEvent) -> str | None:
-        """Return the id of the span that an event ends; None if none is open.
+        """Close the span that an event ends and return its id.
 
         Args:
-          event: The event.
+          event: The event that ends the span.
+
+        Returns:
+          The id of the span; None if no span is open.
         """
         return self.open_spans.pop((event.vm, event.group), None)
 
-    def names(self) -> list[Entry]:
-        """Return the entries that name processes and threads."""
+    def metadata_entries(self) -> list[Entry]:
+        """Return the metadata entries with process and thread names."""
         processes: list[Entry] = [
-            {"ph": "M", "name": "process_name", "pid": pid, "args": {"name": v}}
-            for v, pid in self.processes.items()
+            {
+                "ph": "M",
+                "name": "process_name",
+                "pid": pid,
+                "args": {"name": vm_name},
+            }
+            for vm_name, pid in self.processes.items()
         ]
         threads: list[Entry] = [
             {
@@ -81,26 +89,26 @@
                 "name": "thread_name",
                 "pid": self.processes[vm],
                 "tid": tid,
-                "args": {"name": row},
+                "args": {"name": thread},
             }
-            for (vm, row), tid in self.threads.items()
+            for (vm, thread), tid in self.threads.items()
         ]
         return processes + threads
 
 
-def instant(event: TimelineEvent, rows: TraceRows) -> Entry:
-    """Return an event as an instant of the trace.
+def instant_entry(event: TimelineEvent, trace_ids: TraceIds) -> Entry:
+    """Return the instant entry of an event.
 
     Args:
       event: The event.
-      rows: Where processes and threads are numbered.
+      trace_ids: Assigns process and thread ids.
     """
     return {
         "name": str(event.kind),
         "ph": "i",
         "s": "t",
         "ts": round(event.wall * MICROSECONDS_PER_SECOND),
-        **rows.place(event),
+        **trace_ids.process_and_thread(event),
         "args": {
             "boot": event.boot,
             "sequence": event.sequence,
@@ -111,18 +119,21 @@
     }
 
 
-def span(event: TimelineEvent, rows: TraceRows) -> list[Entry]:
-    """Return the entry that opens or closes a promotion's span, if any.
+def span_entries(event: TimelineEvent, trace_ids: TraceIds) -> list[Entry]:
+    """Return the entry that begins or ends the span of a promotion.
 
     Args:
       event: The event.
-      rows: Where processes and threads are numbered.
+      trace_ids: Assigns process, thread and span ids.
+
+    Returns:
+      A list of one entry; empty if the event neither begins nor ends a span.
     """
     phase, span_id = "", None
     if event.kind == PROMOTION_START:
-        phase, span_id = "b", rows.begin_span(event)
+        phase, span_id = "b", trace_ids.begin_span(event)
     elif event.kind in PROMOTION_ENDS:
-        phase, span_id = "e", rows.end_span(event)
+        phase, span_id = "e", trace_ids.end_span(event)
     if span_id is None:
         return []
     return [
@@ -132,6 +143,6 @@
             "ph": phase,
             "id": span_id,
             "ts": round(event.wall * MICROSECONDS_PER_SECOND),
-            **rows.place(event),
+            **trace_ids.process_and_thread(event),
         }
     ]
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/converter.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/converter.py
@@ -1,4 +1,4 @@
-"""Structures specs with cattrs."""
+"""Conversion between specs and JSON values with cattrs."""
 
 from typing import Any
 
@@ -18,58 +18,68 @@
 TYPE_NAMES = {str: "a string", int: "a whole number", bool: "true or false"}
 
 
-class WrongType(ValueError):
-    """A value is not of its key's type."""
+class WrongTypeError(ValueError):
+    """Raised if a value does not have the type of its key."""
 
 
-def exactly(value: Any, wanted: type[Any]) -> Any:
-    """Return a value that has exactly the wanted type.
+def structure_exact(value: Any, expected_type: type[Any]) -> Any:
+    """Return a value unchanged after checking its type.
+
+    Subclasses are not accepted, so `True` is not a valid integer.
 
     Raises:
-      WrongType: It has another type.
+      WrongTypeError: The value has another type.
     """
-    if type(value) is not wanted:
-        raise WrongType(f"must be {TYPE_NAMES[wanted]}")
+    if type(value) is not expected_type:
+        raise WrongTypeError(f"must be {TYPE_NAMES[expected_type]}")
     return value
 
 
-def optional_int(value: Any, _: Any) -> Any:
-    """Return a whole number or None."""
-    return None if value is None else exactly(value, int)
+def structure_optional_int(value: Any, _: Any) -> Any:
+    """Return a value that must be an integer or None.
+
+    Raises:
+      WrongTypeError: The value has another type.
+    """
+    return None if value is None else structure_exact(value, int)
 
 
-def strings(value: Any, _: Any) -> tuple[str, ...]:
-    """Return a list of strings as a tuple."""
+def structure_strings(value: Any, _: Any) -> tuple[str, ...]:
+    """Return a list of strings as a tuple.
+
+    Raises:
+      WrongTypeError: The value is not a list or contains a non-string.
+    """
     if not isinstance(value, list | tuple):
-        raise WrongType("must be a list of strings")
-    return tuple(exactly(item, str) for item in value)
+        raise WrongTypeError("must be a list of strings")
+    return tuple(structure_exact(item, str) for item in value)
 
 
-def new_converter(strict: bool) -> cattrs.Converter:
+def build_spec_converter(strict: bool) -> cattrs.Converter:
     """Return a converter between specs and JSON values.
 
     Args:
-      strict: Whether unknown keys are refused; else they are passed over,
-        as is right for rows that a newer release wrote.
+      strict: Whether to reject unknown keys. If false, they are ignored, so
+        that rows written by a newer release can be read.
     """
     converter = cattrs.Converter(detailed_validation=True)
     for primitive in TYPE_NAMES:
-        converter.register_structure_hook(primitive, exactly)
+        converter.register_structure_hook(primitive, structure_exact)
     converter.register_structure_hook_func(
-        lambda annotation: annotation == int | None, optional_int
+        lambda annotation: annotation == int | None, structure_optional_int
     )
     converter.register_structure_hook_func(
-        lambda annotation: annotation == tuple[str, ...], strings
+        lambda annotation: annotation == tuple[str, ...], structure_strings
     )
     for declared in DECLARED_CLASSES:
-        add_hooks(converter, declared, strict)
+        register_hooks(converter, declared, strict)
     return converter
 
 
-def add_hooks(
+def register_hooks(
     converter: cattrs.Converter, declared: type[Any], strict: bool
 ) -> None:
-    """Teach a converter the JSON keys of a declared class."""
+    """Register hooks that map attributes to camel-case JSON keys."""
     renames: dict[str, Any] = {
         field.name: override(rename=camel_case(field.name))
         for field in attrs.fields(declared)
@@ -85,12 +95,12 @@
     converter.register_unstructure_hook(declared, unstructure)
 
 
-STRICT = new_converter(strict=True)
-LENIENT = new_converter(strict=False)
+STRICT = build_spec_converter(strict=True)
+LENIENT = build_spec_converter(strict=False)
 
 
-def plain(spec: Any) -> dict[str, Any]:
-    """Return a spec's JSON value with every key."""
+def to_json_value(spec: Any) -> dict[str, Any]:
+    """Return the JSON value of a spec, including keys at their default."""
     value = STRICT.unstructure(spec)
     return {
         name: list(item) if isinstance(item, tuple) else item
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/openapi.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/openapi.py
@@ -7,7 +7,7 @@
 from jackdawcrank_wire.resources.schema import Schema, resource_schema
 
 TITLE = "jackdawcrank resource API"
-ERROR_MEANINGS = {
+ERROR_DESCRIPTIONS = {
     "400": "The request is malformed.",
     "401": "The bearer token is missing or wrong.",
     "404": "There is no such thing.",
@@ -40,17 +40,17 @@
 
 
 def openapi_text() -> str:
-    """Return the OpenAPI description as it stands in the docs."""
+    """Return the OpenAPI description as published in the documentation."""
     return json.dumps(openapi_document(), indent=2) + "\n"
 
 
 def kind_paths(kind: str) -> dict[str, Any]:
-    """Return the paths of one kind of resource."""
+    """Return the paths of one resource kind."""
     name = parameter("name", "path", "string", "The resource's name.")
     if_match = parameter(
         "If-Match", "header", "string", "The resource version to change."
     )
-    none_match = parameter(
+    if_none_match = parameter(
         "If-None-Match", "header", "string", "`*`: create only."
     )
     item = {"$ref": f"#/components/schemas/{kind}"}
@@ -65,7 +65,7 @@
                     f"Create or change a {kind}. Repeating it is harmless.",
                     {"type": "object"},
                     "400 409 412 413 422 503",
-                    [name, if_match, none_match],
+                    [name, if_match, if_none_match],
                 ),
                 "requestBody": {"required": True, "content": content(item)},
             },
@@ -80,12 +80,12 @@
 
 
 def other_paths() -> dict[str, Any]:
-    """Return the paths that are not about one kind."""
+    """Return the paths that do not belong to a resource kind."""
     name = parameter("name", "path", "string", "A name.")
-    anything = {"type": "object"}
+    any_object = {"type": "object"}
     promote = operation(
         "Promote a server of a group; the body may name it as `server`.",
-        anything,
+        any_object,
         "404 409",
         [name],
     )
@@ -94,23 +94,23 @@
     return {
         "/v1/watch": {"get": watch_operation()},
         "/v1/timeline": {"get": timeline_operation()},
-        "/v1/status": {"get": operation("State of this VM.", anything)},
+        "/v1/status": {"get": operation("State of this VM.", any_object)},
         "/v1/ready": {
             "get": {
-                **operation("Whether to send callers here.", anything, "503"),
+                **operation("Whether to send callers here.", any_object, "503"),
                 "security": [],
             }
         },
         "/v1/groups/{name}/promote": {"post": promote},
         "/v1/vms/{name}/drain": {
             "post": operation(
-                "Shut a VM down gracefully.", anything, "404 409 503", [name]
+                "Shut a VM down gracefully.", any_object, "404 409 503", [name]
             )
         },
         "/v1/servers/{name}/drain": {
             "post": operation(
                 "Declare a backend server as leaving.",
-                anything,
+                any_object,
                 "404 412 503",
                 [name],
             )
@@ -118,12 +118,12 @@
         "/v1/requests/{group}/{id}": {
             "get": operation(
                 "What became of a caller's request.",
-                anything,
+                any_object,
                 "404",
                 [group, request_id],
             )
         },
-        "/v1/openapi.json": {"get": operation("This page.", anything)},
+        "/v1/openapi.json": {"get": operation("This page.", any_object)},
     }
 
 
@@ -173,42 +173,43 @@
     parameters: list[Schema] | None = None,
     media_type: str = "application/json",
 ) -> Schema:
-    """Return one operation.
+    """Return an operation object.
 
     Args:
-      summary: What it does.
-      answer: The schema of its answer.
-      errors: The HTTP statuses of its errors besides 401.
-      parameters: Its parameters.
-      media_type: The media type of its answer.
+      summary: A summary of the operation.
+      answer: The schema of the response body.
+      errors: The HTTP status codes of errors, separated by spaces; 401 is
+        always included.
+      parameters: The parameters of the operation.
+      media_type: The media type of the response.
     """
     responses: Schema = {
         "200": {"description": "Done.", "content": content(answer, media_type)}
     }
     for status in ["401", *errors.split()]:
         responses[status] = {
-            "description": ERROR_MEANINGS[status],
+            "description": ERROR_DESCRIPTIONS[status],
             "content": content({"$ref": "#/components/schemas/Error"}),
         }
-    found: Schema = {"summary": summary, "responses": responses}
+    operation_object: Schema = {"summary": summary, "responses": responses}
     if parameters:
-        found["parameters"] = parameters
-    return found
+        operation_object["parameters"] = parameters
+    return operation_object
 
 
-def parameter(name: str, place: str, kind: str, help_text: str) -> Schema:
-    """Return one parameter."""
+def parameter(name: str, location: str, kind: str, help_text: str) -> Schema:
+    """Return a parameter object; path parameters are required."""
     return {
         "name": name,
-        "in": place,
-        "required": place == "path",
+        "in": location,
+        "required": location == "path",
         "description": help_text,
         "schema": {"type": kind},
     }
 
 
 def content(schema: Schema, media_type: str = "application/json") -> Schema:
-    """Return the content of a body."""
+    """Return the content object of a request or response body."""
     return {media_type: {"schema": schema}}
 
 
@@ -227,7 +228,7 @@
 
 
 def error_schema() -> Schema:
-    """Return the schema of an error."""
+    """Return the schema of an error response."""
     texts = {
         "code": "A word for programs.",
         "message": "What is wrong.",
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/parse.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/parse.py
@@ -1,13 +1,13 @@
-"""Converts resources from and to their JSON form."""
+"""Converts resources to and from JSON documents."""
 
 from typing import Any
 
 from jackdawcrank_policy.configuration import RESOURCE_KINDS, Kind
-from jackdawcrank_wire.resources.converter import plain
+from jackdawcrank_wire.resources.converter import to_json_value
 from jackdawcrank_wire.resources.metadata import API_VERSION, Metadata
 from jackdawcrank_wire.resources.problem import Invalid, Problem
 from jackdawcrank_wire.resources.resource import SPEC_CLASSES, Resource
-from jackdawcrank_wire.resources.validate import structured
+from jackdawcrank_wire.resources.validate import structure_validated
 
 KNOWN_KEYS = (
     "apiVersion",
@@ -20,22 +20,26 @@
 
 
 def parse_resource(document: Any) -> Resource | Invalid:
-    """Return the resource that a JSON document declares.
+    """Return the resource in a JSON document, or its validation errors.
 
     Args:
-      document: The decoded JSON value. `status` is ignored.
+      document: The decoded JSON value; its `status` is ignored.
     """
     if not isinstance(document, dict):
         return Invalid((Problem("$", "must be an object", document),))
-    outer = outer_problems(document)
-    kind = known_kind(document.get("kind"))
+    outer = document_problems(document)
+    kind = kind_from_name(document.get("kind"))
     if kind is None:
         names = ", ".join(RESOURCE_KINDS)
         message = f"must be one of {names}"
-        wrong = Problem("kind", message, document.get("kind"))
-        return Invalid((*outer, wrong))
-    metadata = structured(document.get("metadata", {}), Metadata, "metadata")
-    spec = structured(document.get("spec", {}), SPEC_CLASSES[kind], "spec")
+        unknown_kind = Problem("kind", message, document.get("kind"))
+        return Invalid((*outer, unknown_kind))
+    metadata = structure_validated(
+        document.get("metadata", {}), Metadata, "metadata"
+    )
+    spec = structure_validated(
+        document.get("spec", {}), SPEC_CLASSES[kind], "spec"
+    )
     parts = (p for p in (metadata, spec) if isinstance(p, Invalid))
     inner = tuple(problem for part in parts for problem in part.problems)
     if outer or isinstance(metadata, Invalid) or isinstance(spec, Invalid):
@@ -44,9 +48,9 @@
     return Resource(kind, metadata, spec, {}, version)
 
 
-def outer_problems(document: dict[str, Any]) -> tuple[Problem, ...]:
-    """Return what is wrong with a document's own keys."""
-    found = [
+def document_problems(document: dict[str, Any]) -> tuple[Problem, ...]:
+    """Return the problems of the top-level keys of a document."""
+    key_problems = [
         Problem(name, "is not a known key")
         for name in document
         if name not in KNOWN_KEYS
@@ -54,26 +58,26 @@
     api_version = document.get("apiVersion")
     if api_version != API_VERSION:
         message = f"must be {API_VERSION}"
-        found.append(Problem("apiVersion", message, api_version))
+        key_problems.append(Problem("apiVersion", message, api_version))
     version = document.get("resourceVersion")
     if version is not None and type(version) is not int:
         message = "must be a whole number"
-        found.append(Problem("resourceVersion", message, version))
-    return tuple(found)
+        key_problems.append(Problem("resourceVersion", message, version))
+    return tuple(key_problems)
 
 
-def known_kind(name: Any) -> Kind | None:
-    """Return the resource kind of a name; None if there is none."""
+def kind_from_name(name: Any) -> Kind | None:
+    """Return the resource kind with a name; None if the name is unknown."""
     return next((kind for kind in RESOURCE_KINDS if kind == name), None)
 
 
 def resource_document(resource: Resource) -> dict[str, Any]:
-    """Return a resource's JSON form."""
+    """Return the JSON document of a resource."""
     document: dict[str, Any] = {
         "apiVersion": API_VERSION,
         "kind": str(resource.kind),
-        "metadata": plain(resource.metadata),
-        "spec": plain(resource.spec),
+        "metadata": to_json_value(resource.metadata),
+        "spec": to_json_value(resource.spec),
     }
     if resource.status:
         document["status"] = dict(resource.status)
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/schema.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/resources/schema.py
@@ -1,4 +1,4 @@
-"""JSON schemas of the declared classes."""
+"""JSON schemas of the resource classes."""
 
 import typing
 from typing import Any
@@ -12,14 +12,14 @@
 
 Schema = dict[str, Any]
 
-TYPES: dict[Any, Schema] = {
+TYPE_SCHEMAS: dict[Any, Schema] = {
     str: {"type": "string"},
     int: {"type": "integer"},
     bool: {"type": "boolean"},
     int | None: {"type": ["integer", "null"]},
     tuple[str, ...]: {"type": "array", "items": {"type": "string"}},
 }
-KEYWORDS = (
+SCHEMA_KEYWORDS = (
     ("minimum", "minimum"),
     ("maximum", "maximum"),
     ("pattern", "pattern"),
@@ -28,7 +28,7 @@
 
 
 def resource_schema(kind: Kind) -> Schema:
-    """Return the JSON schema of a resource of a kind."""
+    """Return the JSON schema of a resource kind."""
     properties = {
         "apiVersion": {"const": API_VERSION},
         "kind": {"const": str(kind)},
@@ -52,7 +52,7 @@
 
 
 def declared_schema(declared: type[Any]) -> Schema:
-    """Return the JSON schema of a declared class."""
+    """Return the JSON schema of a spec or metadata class."""
     types = typing.get_type_hints(declared)
     fields = attrs.fields(declared)
     schema: Schema = {
@@ -74,12 +74,12 @@
 
 
 def key_schema(field: "attrs.Attribute[Any]", annotation: Any) -> Schema:
-    """Return the JSON schema of one key."""
+    """Return the JSON schema of a declared key."""
     schema: Schema = {
-        **TYPES[annotation],
+        **TYPE_SCHEMAS[annotation],
         "description": field.metadata["help"],
     }
-    for name, keyword in KEYWORDS:
+    for name, keyword in SCHEMA_KEYWORDS:
         bound = field.metadata[name]
         if bound not in (None, ()):
             schema[keyword] = list(bound) if name == "choices" else bound
--- a/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/explain.py
+++ b/packages/jackdawcrank-wire/src/jackdawcrank_wire/settings/explain.py
@@ -1,4 +1,4 @@
-"""Writes the reference of the settings keys."""
+"""Generates the reference of the settings keys."""
 
 import typing
 from typing import Any
@@ -12,14 +12,14 @@
 
 
 def explain_settings() -> str:
-    """Return the reference of all keys as a Markdown table."""
+    """Return the reference of all settings keys as a Markdown table."""
     lines = ["| key | type | default | meaning |", "|---|---|---|---|"]
     types = typing.get_type_hints(Settings)
     for field in setting_fields():
         kind = _type_name(types[field.name])
         default = _default_text(field)
-        meaning = _meaning(field)
-        lines.append(f"| `{field.name}` | {kind} | {default} | {meaning} |")
+        description = _description(field)
+        lines.append(f"| `{field.name}` | {kind} | {default} | {description} |")
     return "\n".join(lines) + "\n"
 
 
@@ -37,7 +37,7 @@
     return f"`{field.default!r}`".replace("'", '"')
 
 
-def _meaning(field: "attrs.Attribute[Any]") -> str:
+def _description(field: "attrs.Attribute[Any]") -> str:
     rules = field.metadata
     text = str(rules["help"])
     if rules["choices"]:
