--- a/bench/slopes_parts/membership.py
+++ b/bench/slopes_parts/membership.py
@@ -70,11 +70,11 @@
     }
     port = {urllib.parse.urlsplit(url).port or 0}
     for name, step in steps.items():
-        tracker.list_due = tracker.page_due = 0.0
+        tracker.next_list_read_at = tracker.next_page_read_at = 0.0
         await step(0.0)
         before = begin_usage()
         for _ in range(CALLS):
-            tracker.list_due = tracker.page_due = 0.0
+            tracker.next_list_read_at = tracker.next_page_read_at = 0.0
             await step(0.0)
         after = end_usage()
         traffic = after.on(port) - before.on(port)
--- a/packages/jackdawcrank-cli/tests/test_commands.py
+++ b/packages/jackdawcrank-cli/tests/test_commands.py
@@ -71,7 +71,7 @@
     timelines[1].record(EventKind.LEASE_LOST, "g", 1)
     line = "timeline --follow --group g"
     follow = asyncio.create_task(system.ctl("ada", "vm-1", line))
-    await until(lambda: all(t.followers for t in timelines))
+    await until(lambda: all(t.subscriptions for t in timelines))
     timelines[0].record(EventKind.LEASE_GAINED, "g", 2)
     timelines[0].record(EventKind.LEASE_GAINED, "h", 2)
     await asyncio.sleep(0.03)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/__init__.py
@@ -1,20 +1,20 @@
 """The configuration in force on this proxy."""
 
-from jackdawcrank.config.collector import ChangeLogCollector
+from jackdawcrank.config.compactor import ChangeLogCompactor
 from jackdawcrank.config.follower import ConfigurationFollower
 from jackdawcrank.config.peer_records import (
-    Learned,
-    learned_from,
+    PeerUpdate,
+    decode_peer_record,
     peer_records,
 )
 from jackdawcrank.config.snapshot import decode_snapshot, encode_snapshot
 
 __all__ = [
-    "ChangeLogCollector",
+    "ChangeLogCompactor",
     "ConfigurationFollower",
-    "Learned",
+    "PeerUpdate",
     "decode_snapshot",
     "encode_snapshot",
-    "learned_from",
+    "decode_peer_record",
     "peer_records",
 ]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/collector.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/compactor.py
@@ -22,23 +22,23 @@
 from jackdawcrank.timer import Subscription, Timer
 from jackdawcrank_policy.configuration import ConfigurationState
 
-COLLECT_SECONDS = 60.0
+COMPACTION_INTERVAL_SECONDS = 60.0
 JITTER_FRACTION = 0.9
-COLLECT_AT_CHANGES = 2000
-KEEP_CHANGES = 1000
+COMPACTION_THRESHOLD_CHANGES = 2000
+RETAINED_CHANGES = 1000
 DELETES_PER_TRANSACTION = 200
 SNAPSHOT_PREFIX = "snapshots/"
 
 
-class ChangeLogCollector:
+class ChangeLogCompactor:
     """Writes snapshots and deletes the changes that they cover.
 
     Every proxy runs one. The check of the head lets one of them win; the
     jitter makes it likely that the others find nothing left to do.
 
     Attributes:
-      collect_at: How many changes the log may hold before it is shortened.
-      keep: How many of the newest changes stay.
+      compaction_threshold: How many changes the log may hold before it is shortened.
+      retained_changes: How many of the newest changes stay.
     """
 
     def __init__(
@@ -47,9 +47,9 @@
         state: ConfigurationState,
         timer: Timer,
         rng: random.Random | None = None,
-        collect_at: int = COLLECT_AT_CHANGES,
-        keep: int = KEEP_CHANGES,
-        on_collected: Callable[[Head], None] = lambda head: None,
+        compaction_threshold: int = COMPACTION_THRESHOLD_CHANGES,
+        retained_changes: int = RETAINED_CHANGES,
+        on_compacted: Callable[[Head], None] = lambda head: None,
     ) -> None:
         """Make a collector; `start` begins its work.
 
@@ -58,23 +58,27 @@
           state: The configuration in force here.
           timer: Calls back.
           rng: The source of jitter.
-          collect_at: How many changes the log may hold.
-          keep: How many of the newest changes stay; no more than that.
-          on_collected: Called with the new head.
+          compaction_threshold: How many changes the log may hold.
+          retained_changes: How many of the newest changes stay; no more than that.
+          on_compacted: Called with the new head.
         """
         self.store = store
         self.state = state
         self.timer = timer
         self.rng = rng or random.Random()
-        self.collect_at = collect_at
-        self.keep = min(keep, collect_at)
-        self.on_collected = on_collected
+        self.compaction_threshold = compaction_threshold
+        self.retained_changes = min(retained_changes, compaction_threshold)
+        self.on_compacted = on_compacted
         self.subscription: Subscription | None = None
 
     async def start(self) -> None:
         """Begin to look at regular intervals."""
         self.subscription = self.timer.subscribe(
-            "collector", COLLECT_SECONDS, self.tick, JITTER_FRACTION, self.rng
+            "collector",
+            COMPACTION_INTERVAL_SECONDS,
+            self.tick,
+            JITTER_FRACTION,
+            self.rng,
         )
 
     async def close(self) -> None:
@@ -84,15 +88,15 @@
 
     async def tick(self, now: float) -> None:
         """Shorten the log if it is long; skip the read if it can't be."""
-        if self.state.version >= self.collect_at:
-            await self.collect()
+        if self.state.version >= self.compaction_threshold:
+            await self.compact()
 
-    async def collect(self) -> bool:
+    async def compact(self) -> bool:
         """Shorten the log if it is long; return whether that was done."""
         head = await read_head(self.store)
         if isinstance(head, StoreUnavailable):
             return False
-        if head.version - head.floor + 1 < self.collect_at:
+        if head.version - head.floor + 1 < self.compaction_threshold:
             return False
         snapshot = self.state.current
         if not head.floor <= snapshot.version <= head.version:
@@ -102,12 +106,12 @@
         written = await self.store.put_object(name, data, only_new=True)
         if not isinstance(written, ObjectWritten):
             return False
-        shortened = await self.shorten(head, name, snapshot.version)
-        if shortened:
+        truncated = await self.truncate_log(head, name, snapshot.version)
+        if truncated:
             await self.delete_old_snapshots(head.snapshot, name)
-        return shortened
+        return truncated
 
-    async def shorten(self, head: Head, name: str, covered: int) -> bool:
+    async def truncate_log(self, head: Head, name: str, covered: int) -> bool:
         """Point the head at a snapshot and delete covered changes.
 
         Args:
@@ -115,21 +119,21 @@
           name: The snapshot's name.
           covered: The version of the snapshot.
         """
-        floor, target = head.floor, covered - self.keep + 1
-        shortened = False
+        floor, target = head.floor, covered - self.retained_changes + 1
+        truncated = False
         while floor < target:
             floor = min(target, floor + DELETES_PER_TRANSACTION)
-            moved = Head(head.version, name, floor, head.row_version)
+            new_head = Head(head.version, name, floor, head.row_version)
             outcome = await self.store.transact(
-                collection(moved, range(head.floor, floor))
+                truncation_transaction(new_head, range(head.floor, floor))
             )
             if not isinstance(outcome, Committed):
-                return shortened
-            shortened = True
+                return truncated
+            truncated = True
             row_version = outcome.versions[f"{HEAD}/{HEAD}"]
             head = Head(head.version, name, floor, row_version)
-            self.on_collected(head)
-        return shortened
+            self.on_compacted(head)
+        return truncated
 
     async def delete_old_snapshots(
         self, previous: str | None, new: str
@@ -143,7 +147,7 @@
                 await self.store.delete_object(name)
 
 
-def collection(head: Head, covered: range) -> Transaction:
+def truncation_transaction(head: Head, covered: range) -> Transaction:
     """Return the transaction that moves the floor.
 
     Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/follower.py
@@ -6,7 +6,7 @@
 
 from absl import logging
 
-from jackdawcrank.config.peer_records import Learned, learned_from
+from jackdawcrank.config.peer_records import PeerUpdate, decode_peer_record
 from jackdawcrank.config.snapshot import decode_snapshot
 from jackdawcrank.store.change_reader import read_changes
 from jackdawcrank.store.client import StoreClient
@@ -23,14 +23,14 @@
 
 HEAD_READ_SECONDS = 0.8
 JITTER_FRACTION = 0.2
-MIN_PAUSE_SECONDS = 0.1
-SLOW_SECONDS = 0.4
-PEER_PAUSE_SECONDS = 1.0
+MIN_READ_DELAY_SECONDS = 0.1
+SLOW_READ_SECONDS = 0.4
+PEER_READ_INTERVAL_SECONDS = 1.0
 
 OnChange = Callable[[Configuration, tuple[Change, ...]], None]
-OnStore = Callable[[bool], None]
+OnStoreAvailability = Callable[[bool], None]
 OnHeadRead = Callable[[float, int], None]
-LearnFromPeers = Callable[[int], Awaitable[Iterable[Learned]]]
+ReadFromPeers = Callable[[int], Awaitable[Iterable[PeerUpdate]]]
 
 
 class ConfigurationFollower:
@@ -38,12 +38,12 @@
 
     Attributes:
       state: The configuration in force.
-      store_answers: Whether the last read of the head succeeded.
+      store_available: Whether the last read of the head succeeded.
       head_version: The newest version that a read of the head showed.
-      heard_version: The newest version that a peer has told of.
+      peer_version: The newest version that a peer has told of.
       floor: The oldest change in the log, as of that read.
       changed: Wakes those who wait for a newer version.
-      slow: Whether the last read of the head took long.
+      head_read_slow: Whether the last read of the head took long.
     """
 
     def __init__(
@@ -52,8 +52,8 @@
         timer: Timer,
         on_change: OnChange = lambda configuration, changes: None,
         on_head_read: OnHeadRead = lambda sent_at, version: None,
-        learn_from_peers: LearnFromPeers | None = None,
-        on_store: OnStore = lambda answers: None,
+        read_from_peers: ReadFromPeers | None = None,
+        on_store_availability: OnStoreAvailability = lambda answers: None,
         interval_seconds: float = HEAD_READ_SECONDS,
         rng: random.Random | None = None,
     ) -> None:
@@ -67,9 +67,9 @@
           on_head_read: Called with the instant before the read was sent and
             the version that it showed, once every change up to that version
             is in force.
-          learn_from_peers: Asks peers for what is above a version; used
+          read_from_peers: Asks peers for what is above a version; used
             while the store does not answer.
-          on_store: Called when the store begins or ceases to answer.
+          on_store_availability: Called when the store begins or ceases to answer.
           interval_seconds: The time between two reads.
           rng: The source of jitter.
         """
@@ -77,21 +77,21 @@
         self.timer = timer
         self.on_change = on_change
         self.on_head_read = on_head_read
-        self.learn_from_peers = learn_from_peers
-        self.on_store = on_store
+        self.read_from_peers = read_from_peers
+        self.on_store_availability = on_store_availability
         self.interval_seconds = interval_seconds
         self.rng = rng or random.Random()
         self.state = ConfigurationState()
-        self.store_answers = False
+        self.store_available = False
         self.head_version = 0
         self.floor = 1
         self.changed = asyncio.Event()
         self.subscription: Subscription | None = None
         self.reading = asyncio.Lock()
-        self.peers_asked_at = float("-inf")
+        self.peers_queried_at = float("-inf")
         self.read_at = float("-inf")
-        self.heard_version = 0
-        self.slow = False
+        self.peer_version = 0
+        self.head_read_slow = False
         self.closed = False
 
     @property
@@ -116,25 +116,25 @@
 
     async def tick(self, now: float) -> None:
         """Read the head, and again an interval after this read began."""
-        began_at = self.timer.now()
+        started_at = self.timer.now()
         try:
             await self.read()
         finally:
-            took = self.timer.now() - began_at
+            elapsed = self.timer.now() - started_at
             jitter = self.rng.uniform(-JITTER_FRACTION, JITTER_FRACTION)
-            pause = self.interval_seconds * (1 + jitter) - took
+            delay = self.interval_seconds * (1 + jitter) - elapsed
             if not self.closed:
-                pause = max(MIN_PAUSE_SECONDS, pause)
-                self.subscription = self.timer.call_later(pause, self.tick)
+                delay = max(MIN_READ_DELAY_SECONDS, delay)
+                self.subscription = self.timer.call_later(delay, self.tick)
 
-    async def peer_is_at(self, version: int) -> None:
+    async def handle_peer_version(self, version: int) -> None:
         """Take in that a peer has a version; read at once if it is newer."""
         if version <= self.version:
             return
-        lately = self.timer.now() - self.read_at < MIN_PAUSE_SECONDS
-        if lately and version <= self.heard_version:
+        recently_read = self.timer.now() - self.read_at < MIN_READ_DELAY_SECONDS
+        if recently_read and version <= self.peer_version:
             return
-        self.heard_version = max(self.heard_version, version)
+        self.peer_version = max(self.peer_version, version)
         await self.read()
 
     async def read(self) -> None:
@@ -142,10 +142,10 @@
         async with self.reading:
             sent_at = self.read_at = self.timer.now()
             head = await self.read_head()
-            self.note_store(isinstance(head, Head))
-            self.slow = self.timer.now() - sent_at > SLOW_SECONDS
+            self.set_store_available(isinstance(head, Head))
+            self.head_read_slow = self.timer.now() - sent_at > SLOW_READ_SECONDS
             if isinstance(head, StoreUnavailable):
-                await self.ask_peers()
+                await self.update_from_peers()
             elif await self.catch_up(head):
                 self.head_version = max(self.head_version, head.version)
                 self.floor = max(self.floor, head.floor)
@@ -155,8 +155,8 @@
         """Read the head; from a slow store the changes at the same time."""
         reading = asyncio.create_task(read_head(self.store))
         try:
-            if not self.slow:
-                await asyncio.wait([reading], timeout=SLOW_SECONDS)
+            if not self.head_read_slow:
+                await asyncio.wait([reading], timeout=SLOW_READ_SECONDS)
             if not reading.done():
                 changes = await read_changes(self.store, self.version)
                 if not isinstance(changes, StoreUnavailable):
@@ -165,17 +165,17 @@
         finally:
             reading.cancel()
 
-    def note_store(self, answers: bool) -> None:
+    def set_store_available(self, answers: bool) -> None:
         """Record whether the store answers."""
-        if answers != self.store_answers:
-            self.store_answers = answers
-            self.on_store(answers)
+        if answers != self.store_available:
+            self.store_available = answers
+            self.on_store_availability(answers)
 
     async def catch_up(self, head: Head) -> bool:
         """Apply every change up to a head; return whether that worked."""
-        behind = head.floor > self.version + 1
-        new = self.version == 0 and head.snapshot is not None
-        if (behind or new) and not await self.load_snapshot(head):
+        below_floor = head.floor > self.version + 1
+        initial = self.version == 0 and head.snapshot is not None
+        if (below_floor or initial) and not await self.load_snapshot(head):
             return False
         while self.version < head.version:
             changes = await read_changes(self.store, self.version)
@@ -200,34 +200,34 @@
         self.adopt(snapshot)
         return True
 
-    async def ask_peers(self) -> None:
+    async def update_from_peers(self) -> None:
         """Learn from peers what the store can't tell."""
         now = self.timer.now()
-        if self.learn_from_peers is None:
+        if self.read_from_peers is None:
             return
-        if now - self.peers_asked_at < PEER_PAUSE_SECONDS:
+        if now - self.peers_queried_at < PEER_READ_INTERVAL_SECONDS:
             return
-        self.peers_asked_at = now
-        self.learn(await self.learn_from_peers(self.version))
+        self.peers_queried_at = now
+        self.apply_peer_updates(await self.read_from_peers(self.version))
 
-    def learn(self, learned: Iterable[Learned]) -> None:
+    def apply_peer_updates(self, updates: Iterable[PeerUpdate]) -> None:
         """Apply what peers told, as far as it is newer."""
-        items = list(learned)
+        items = list(updates)
         snapshots = [i for i in items if isinstance(i, Configuration)]
         for snapshot in snapshots:
             self.adopt(snapshot)
         changes = [item for item in items if isinstance(item, Change)]
         self.apply(sorted(changes, key=lambda change: change.version))
 
-    def learn_records(self, records: Iterable[bytes]) -> None:
+    def apply_peer_records(self, records: Iterable[bytes]) -> None:
         """Apply a peer's records, as far as they are newer."""
-        learned = (learned_from(record) for record in records)
-        self.learn(item for item in learned if item is not None)
+        updates = (decode_peer_record(record) for record in records)
+        self.apply_peer_updates(item for item in updates if item is not None)
 
     def adopt(self, snapshot: Configuration) -> None:
         """Put a snapshot in force if it is newer."""
         if isinstance(self.state.adopt(snapshot), Applied):
-            self.announce(())
+            self.notify_change(())
 
     def apply(self, changes: Iterable[Change]) -> bool:
         """Put changes in force; return whether none was missing."""
@@ -241,10 +241,10 @@
             if isinstance(outcome, Applied):
                 applied.append(change)
         if applied:
-            self.announce(tuple(applied))
+            self.notify_change(tuple(applied))
         return complete
 
-    def announce(self, changes: tuple[Change, ...]) -> None:
+    def notify_change(self, changes: tuple[Change, ...]) -> None:
         """Tell everybody who waits that the configuration moved on."""
         self.on_change(self.configuration, changes)
         self.changed.set()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/peer_records.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/peer_records.py
@@ -11,7 +11,7 @@
     ConfigurationState,
 )
 
-Learned = Change | Configuration
+PeerUpdate = Change | Configuration
 MALFORMED = (ValueError, KeyError, TypeError, AttributeError)
 
 
@@ -50,7 +50,7 @@
     return json.dumps({"snapshot": data}).encode()
 
 
-def learned_from(record: bytes) -> Learned | None:
+def decode_peer_record(record: bytes) -> PeerUpdate | None:
     """Return what a peer's record holds; None if it is malformed."""
     try:
         document = json.loads(record)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/logs/formatters.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/logs/formatters.py
@@ -8,7 +8,7 @@
 FIELDS_ATTRIBUTE = "fields"
 
 
-def line_fields(record: logging.LogRecord) -> dict[str, typing.Any]:
+def record_fields(record: logging.LogRecord) -> dict[str, typing.Any]:
     """Return what a log line says, in the order that it says it.
 
     Args:
@@ -37,7 +37,7 @@
         Args:
           record: The log record.
         """
-        pairs = line_fields(record).items()
+        pairs = record_fields(record).items()
         return " ".join(f"{key}={quote(value)}" for key, value in pairs)
 
 
@@ -50,7 +50,7 @@
         Args:
           record: The log record.
         """
-        return json.dumps(line_fields(record), default=str)
+        return json.dumps(record_fields(record), default=str)
 
 
 def quote(value: object) -> str:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/membership/tracker.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/membership/tracker.py
@@ -20,7 +20,7 @@
 )
 from jackdawcrank_policy.values import Vm
 
-OnView = Callable[[MembershipView], None]
+OnViewChange = Callable[[MembershipView], None]
 TABLE = "vms"
 
 
@@ -32,9 +32,9 @@
       view: The newest view.
       boot: The id of this process.
       counter: How often the lease row was renewed.
-      page_after: Where the next page of lease rows begins.
-      list_due: When the VM list is to be read again.
-      page_due: When the next page of lease rows is to be read.
+      page_cursor: Where the next page of lease rows begins.
+      next_list_read_at: When the VM list is to be read again.
+      next_page_read_at: When the next page of lease rows is to be read.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         timer: Timer,
         own: Vm,
         boot: str,
-        on_view: OnView = lambda view: None,
+        on_view_change: OnViewChange = lambda view: None,
         rng: random.Random | None = None,
     ) -> None:
         """Make a tracker; `start` begins its work.
@@ -53,21 +53,21 @@
           timer: Calls back, and tells the monotonic time.
           own: This VM.
           boot: The id of this process.
-          on_view: Called with each view that differs from the one before.
+          on_view_change: Called with each view that differs from the one before.
           rng: The source of jitter.
         """
         self.store = store
         self.timer = timer
         self.own = own
         self.boot = boot
-        self.on_view = on_view
+        self.on_view_change = on_view_change
         self.rng = rng or random.Random()
         self.membership = Membership(own)
         self.view = MembershipView((own.name,), (), {own.name: own})
         self.counter = 0
-        self.page_after = ""
-        self.list_due = float("-inf")
-        self.page_due = float("-inf")
+        self.page_cursor = ""
+        self.next_list_read_at = float("-inf")
+        self.next_page_read_at = float("-inf")
         self.subscriptions: list[Subscription] = []
 
     async def start(self) -> None:
@@ -145,29 +145,29 @@
 
     async def read_list(self, now: float) -> None:
         """Read the platform's VM list, less often the longer it is."""
-        if now < self.list_due:
+        if now < self.next_list_read_at:
             return
         vms = await self.store.list_vms()
         if isinstance(vms, StoreUnavailable):
             return
         self.membership.listed(vms)
         interval = intervals.list_interval_seconds(len(vms))
-        self.list_due = now + self.jittered(interval)
+        self.next_list_read_at = now + self.with_jitter(interval)
 
     async def read_page(self, now: float) -> None:
         """Read the next page of lease rows, round and round."""
-        if now < self.page_due:
+        if now < self.next_page_read_at:
             return
         page = await self.store.scan(
-            TABLE, self.page_after, intervals.PAGE_ROWS
+            TABLE, self.page_cursor, intervals.PAGE_ROWS
         )
         if isinstance(page, StoreUnavailable):
             return
         for row in page.rows:
-            self.take(row, now)
-        self.page_after = page.rows[-1].key if page.more else ""
+            self.record_lease(row, now)
+        self.page_cursor = page.rows[-1].key if page.more else ""
         interval = intervals.page_interval_seconds(len(page.rows))
-        self.page_due = now + self.jittered(interval)
+        self.next_page_read_at = now + self.with_jitter(interval)
         self.membership.forget(now)
 
     async def read_suspects(self, now: float) -> None:
@@ -178,16 +178,16 @@
             sent_at = self.timer.now()
             row = await self.store.get(TABLE, name)
             if isinstance(row, Row):
-                self.take(row, sent_at)
+                self.record_lease(row, sent_at)
             elif isinstance(row, Absent):
                 self.membership.lease_missing(name)
 
-    def jittered(self, interval_seconds: float) -> float:
+    def with_jitter(self, interval_seconds: float) -> float:
         """Return an interval made a little longer or shorter."""
         jitter = intervals.JITTER_FRACTION
         return interval_seconds * (1 + self.rng.uniform(-jitter, jitter))
 
-    def take(self, row: Row, now: float) -> None:
+    def record_lease(self, row: Row, now: float) -> None:
         """Take in another VM's lease row."""
         lease = decode_lease_row(row.key, row.value)
         if lease is not None and row.key != self.own.name:
@@ -202,4 +202,4 @@
         view = self.membership.view(now)
         if view != self.view:
             self.view = view
-            self.on_view(view)
+            self.on_view_change(view)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/metrics.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/metrics.py
@@ -146,8 +146,8 @@
         for key in gauges:
             del self.changed_gauges[key]
             pipeline.gauge(metric_path(key), self.gauges[key])
-        room = MAX_LINES_PER_FLUSH - len(counters) - len(gauges)
-        for key, sample in itertools.islice(self.samples(), room):
+        remaining_lines = MAX_LINES_PER_FLUSH - len(counters) - len(gauges)
+        for key, sample in itertools.islice(self.samples(), remaining_lines):
             pipeline.timing(metric_path(key), sample)
 
     def samples(self) -> collections.abc.Iterator[tuple[Key, float]]:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/action_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/action_handlers.py
@@ -137,7 +137,7 @@
         "vm": ports.vm,
         "ready": ports.ready(),
         "configurationVersion": follower.version,
-        "storeAnswers": follower.store_answers,
+        "storeAnswers": follower.store_available,
         "vms": vms,
         **ports.status(),
     }
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/timeline_handler.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/timeline_handler.py
@@ -10,7 +10,7 @@
 from jackdawcrank.operators.ports import OperatorPorts
 from jackdawcrank.operators.problem_answer import BAD_REQUEST, error_answer
 from jackdawcrank.operators.watch import LINES
-from jackdawcrank.timeline import Follower
+from jackdawcrank.timeline import EventSubscription
 from jackdawcrank_wire.events import TimelineEvent, to_json_lines
 
 EVENTS_PER_WRITE = 500
@@ -86,7 +86,7 @@
     async def follow(
         self,
         response: web.StreamResponse,
-        follower: Follower,
+        follower: EventSubscription,
         wanted: EventFilter,
     ) -> None:
         """Send events as they are recorded, until shutdown."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
@@ -2,8 +2,8 @@
 
 from jackdawcrank.config import (
     ConfigurationFollower,
-    Learned,
-    learned_from,
+    PeerUpdate,
+    decode_peer_record,
     peer_records,
 )
 from jackdawcrank.membership import MembershipTracker
@@ -111,30 +111,32 @@
     async def config_version(self, vm: str, message: ConfigVersion) -> None:
         """Read the change log at once if a peer is ahead."""
         self.tracker.heard(vm)
-        await self.follower.peer_is_at(message.version)
+        await self.follower.handle_peer_version(message.version)
 
     async def hello(self, vm: str, message: Hello) -> None:
         """Take in a peer's start of a stream."""
         self.tracker.heard(vm, boot=message.boot)
-        await self.follower.peer_is_at(message.config_version)
+        await self.follower.handle_peer_version(message.config_version)
 
     async def leaving(self, vm: str, message: Leaving) -> None:
         """Take in that a peer is shutting down."""
         self.tracker.announced_leaving(message.vm)
 
-    async def learn_from_peers(self, version: int) -> list[Learned]:
+    async def read_from_peers(self, version: int) -> list[PeerUpdate]:
         """Ask some peers for the changes above a version.
 
         Args:
           version: The version in force here.
         """
         connected = self.links.connected() or sorted(self.links.addresses)
-        learned: list[Learned] = []
+        learned: list[PeerUpdate] = []
         for vm in connected[:PEERS_ASKED]:
             answer = await self.links.request(
                 vm, ChangesRequest(0, version), LEARN_SECONDS
             )
             if isinstance(answer, ChangesAnswer):
-                found = [learned_from(record) for record in answer.changes]
+                found = [
+                    decode_peer_record(record) for record in answer.changes
+                ]
                 learned.extend(item for item in found if item is not None)
         return learned
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
@@ -8,7 +8,7 @@
 
 from absl import logging
 
-from jackdawcrank.config import ChangeLogCollector, ConfigurationFollower
+from jackdawcrank.config import ChangeLogCompactor, ConfigurationFollower
 from jackdawcrank.front.front_server import FrontServer
 from jackdawcrank.groups.quick_group_rows import QuickGroupRows
 from jackdawcrank.membership import MembershipTracker
@@ -88,7 +88,7 @@
         self.router = self._make_router()
         self.links.is_watched = self._is_watched
         self.follower = self._make_follower()
-        self.collector = ChangeLogCollector(
+        self.compactor = ChangeLogCompactor(
             self.store, self.follower.state, self.timer, self.rng
         )
         self.front = self._make_front()
@@ -121,7 +121,7 @@
         self._make_peer_service(self.tracker)
         self.links.lost_callbacks.append(self._peer_lost)
         await self.follower.start()
-        await self.collector.start()
+        await self.compactor.start()
         await self.tracker.start()
         self._view_changed(self.tracker.view)
         await self.front.start()
@@ -165,7 +165,7 @@
         self.ready = False
         await self.front.close()
         await self.follower.close()
-        await self.collector.close()
+        await self.compactor.close()
         await self.links.close()
         await self.peer_server.close()
         await self.registry.close()
@@ -212,7 +212,7 @@
             self.timer,
             on_change=self._configuration_changed,
             on_head_read=self.registry.head_read,
-            on_store=self._store_changed,
+            on_store_availability=self._store_changed,
             interval_seconds=self.settings.head_read_seconds,
             rng=self.rng,
         )
@@ -273,11 +273,11 @@
             self.registry, self.router, self.follower, tracker, self.links
         )
         service.register(self.handlers)
-        self.follower.learn_from_peers = service.learn_from_peers
+        self.follower.read_from_peers = service.read_from_peers
 
     def _is_ready(self) -> bool:
         """Return whether callers should be sent to this VM."""
-        known = self.follower.version > 0 or self.follower.store_answers
+        known = self.follower.version > 0 or self.follower.store_available
         return self.ready and known
 
     def _store_changed(self, answers: bool) -> None:
@@ -310,7 +310,7 @@
 
     def _row_written(self, row: GroupRow, version: int) -> None:
         """Apply a row that this VM wrote without waiting for the timer."""
-        task = asyncio.ensure_future(self.follower.peer_is_at(version))
+        task = asyncio.ensure_future(self.follower.handle_peer_version(version))
         self.registry.tasks.add(task)
         task.add_done_callback(self.registry.tasks.discard)
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/burst_counter.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/event_aggregator.py
@@ -6,7 +6,7 @@
 from jackdawcrank_wire.events import EventKind
 
 
-class BurstCounter:
+class EventAggregator:
     """Counts what would flood the time line and records one event for many.
 
     `flush` is to be called at regular intervals.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/event_subscription.py
@@ -8,19 +8,19 @@
 QUEUE_LENGTH = 1000
 
 
-class Follower:
+class EventSubscription:
     """Receives each event as it is recorded.
 
     A follower that reads too slowly loses the oldest events that wait for
     it; gaps in the sequence numbers show it.
     """
 
-    def __init__(self, leave: collections.abc.Callable[[], None]) -> None:
+    def __init__(self, unsubscribe: collections.abc.Callable[[], None]) -> None:
         self.queue: asyncio.Queue[TimelineEvent | None]
         self.queue = asyncio.Queue(QUEUE_LENGTH)
-        self.leave = leave
+        self.unsubscribe = unsubscribe
 
-    def offer(self, event: TimelineEvent | None) -> None:
+    def enqueue(self, event: TimelineEvent | None) -> None:
         """Add an event, at the cost of the oldest if the queue is full.
 
         Args:
@@ -30,7 +30,7 @@
             self.queue.get_nowait()
         self.queue.put_nowait(event)
 
-    def __aiter__(self) -> "Follower":
+    def __aiter__(self) -> "EventSubscription":
         return self
 
     async def __anext__(self) -> TimelineEvent:
@@ -41,5 +41,5 @@
 
     def close(self) -> None:
         """Receive no further event."""
-        self.leave()
-        self.offer(None)
+        self.unsubscribe()
+        self.enqueue(None)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/kept_events.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/retained_events.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class KeptEvents:
+class RetainedEvents:
     """The events above a sequence number.
 
     Attributes:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/timeline.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/timeline.py
@@ -6,8 +6,8 @@
 import itertools
 import time
 
-from jackdawcrank.timeline.follower import Follower
-from jackdawcrank.timeline.kept_events import KeptEvents
+from jackdawcrank.timeline.event_subscription import EventSubscription
+from jackdawcrank.timeline.retained_events import RetainedEvents
 from jackdawcrank_wire.events import EventKind, TimelineEvent
 
 DEFAULT_CAPACITY = 10_000
@@ -35,7 +35,7 @@
         self.events: collections.deque[TimelineEvent]
         self.events = collections.deque(maxlen=capacity)
         self.sequence = 0
-        self.followers: list[Follower] = []
+        self.subscriptions: list[EventSubscription] = []
         self.listeners: list[Listener] = []
 
     def record(
@@ -71,11 +71,11 @@
         self.events.append(event)
         for listener in self.listeners:
             listener(event)
-        for follower in self.followers:
-            follower.offer(event)
+        for event_subscription in self.subscriptions:
+            event_subscription.enqueue(event)
         return event
 
-    def since(self, sequence: int) -> KeptEvents:
+    def since(self, sequence: int) -> RetainedEvents:
         """Return the events above a sequence number.
 
         Args:
@@ -85,27 +85,29 @@
         skipped = max(0, sequence + 1 - oldest)
         dropped = max(0, oldest - sequence - 1)
         events = tuple(itertools.islice(self.events, skipped, None))
-        return KeptEvents(events, dropped)
+        return RetainedEvents(events, dropped)
 
-    def follow(self) -> Follower:
+    def follow(self) -> EventSubscription:
         """Return a reader of the events that are recorded from now on."""
-        follower = Follower(lambda: self.remove(follower))
-        self.followers.append(follower)
-        return follower
+        event_subscription = EventSubscription(
+            lambda: self.remove(event_subscription)
+        )
+        self.subscriptions.append(event_subscription)
+        return event_subscription
 
-    def remove(self, follower: Follower) -> None:
+    def remove(self, event_subscription: EventSubscription) -> None:
         """Send a follower no further event.
 
         Args:
-          follower: The follower; unknown ones are ignored.
+          event_subscription: The subscription; unknown ones are ignored.
         """
-        if follower in self.followers:
-            self.followers.remove(follower)
+        if event_subscription in self.subscriptions:
+            self.subscriptions.remove(event_subscription)
 
     def close(self) -> None:
         """End every follower."""
-        for follower in list(self.followers):
-            follower.close()
+        for event_subscription in list(self.subscriptions):
+            event_subscription.close()
 
 
 def detail_text(value: object) -> str:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timer/manual_timer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timer/manual_timer.py
@@ -2,9 +2,9 @@
 
 import random
 
-from jackdawcrank.timer.agenda import Agenda
 from jackdawcrank.timer.run_callback import run_callback
 from jackdawcrank.timer.subscription import Subscription, TickCallback
+from jackdawcrank.timer.timer_queue import TimerQueue
 
 
 class ManualTimer:
@@ -12,7 +12,7 @@
 
     def __init__(self, now: float = 0.0) -> None:
         self.time = now
-        self.agenda = Agenda()
+        self.timer_queue = TimerQueue()
 
     def now(self) -> float:
         """Return the time in seconds that the test has reached."""
@@ -38,7 +38,7 @@
         Raises:
           ValueError: The interval is not above 0.
         """
-        return self.agenda.add_repeated(
+        return self.timer_queue.add_periodic(
             name,
             interval_seconds,
             callback,
@@ -56,14 +56,16 @@
           delay_seconds: The time until the call.
           callback: Called with the timer's time.
         """
-        return self.agenda.add_single(delay_seconds, callback, self.now())
+        return self.timer_queue.add_one_shot(
+            delay_seconds, callback, self.now()
+        )
 
     async def start(self) -> None:
         """Do nothing; `advance` calls back."""
 
     async def close(self) -> None:
         """Forget every subscription."""
-        self.agenda = Agenda()
+        self.timer_queue = TimerQueue()
 
     async def advance(self, seconds: float) -> None:
         """Move the time on and make the calls that fall due, one by one.
@@ -72,8 +74,8 @@
           seconds: How far to move the time.
         """
         end = self.time + seconds
-        while subscription := self.agenda.pop_due(end):
+        while subscription := self.timer_queue.pop_due(end):
             self.time = max(self.time, subscription.next_at)
             await run_callback(subscription, self.time)
-            self.agenda.finish(subscription, self.time)
+            self.timer_queue.reschedule(subscription, self.time)
         self.time = end
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timer/agenda.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timer/timer_queue.py
@@ -7,14 +7,14 @@
 from jackdawcrank.timer.subscription import Subscription, TickCallback
 
 
-class Agenda:
+class TimerQueue:
     """The subscriptions of a timer, ordered by when they are due."""
 
     def __init__(self) -> None:
         self.entries: list[tuple[float, int, Subscription]] = []
         self.counter = itertools.count()
 
-    def add_repeated(
+    def add_periodic(
         self,
         name: str,
         interval_seconds: float,
@@ -49,7 +49,7 @@
         self.push(subscription)
         return subscription
 
-    def add_single(
+    def add_one_shot(
         self, delay_seconds: float, callback: TickCallback, now: float
     ) -> Subscription:
         """Add a single call.
@@ -91,7 +91,7 @@
             return None
         return heapq.heappop(self.entries)[2]
 
-    def finish(self, subscription: Subscription, now: float) -> None:
+    def reschedule(self, subscription: Subscription, now: float) -> None:
         """Insert a subscription again after a call, if it repeats.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timer/timer_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timer/timer_service.py
@@ -4,9 +4,9 @@
 import collections.abc
 import random
 
-from jackdawcrank.timer.agenda import Agenda
 from jackdawcrank.timer.run_callback import run_callback
 from jackdawcrank.timer.subscription import Subscription, TickCallback
+from jackdawcrank.timer.timer_queue import TimerQueue
 
 Clock = collections.abc.Callable[[], float]
 
@@ -16,7 +16,7 @@
 
     def __init__(self, clock: Clock | None = None) -> None:
         self.clock = clock or asyncio.get_running_loop().time
-        self.agenda = Agenda()
+        self.timer_queue = TimerQueue()
         self.calls: set[asyncio.Task[None]] = set()
         self.handle: asyncio.TimerHandle | None = None
         self.started = False
@@ -45,7 +45,7 @@
         Raises:
           ValueError: The interval is not above 0.
         """
-        subscription = self.agenda.add_repeated(
+        subscription = self.timer_queue.add_periodic(
             name, interval_seconds, callback, jitter_fraction, rng, self.now()
         )
         self.arm()
@@ -60,7 +60,7 @@
           delay_seconds: The time until the call.
           callback: Called with the timer's time.
         """
-        subscription = self.agenda.add_single(
+        subscription = self.timer_queue.add_one_shot(
             delay_seconds, callback, self.now()
         )
         self.arm()
@@ -85,15 +85,17 @@
         if self.handle:
             self.handle.cancel()
             self.handle = None
-        due_at = self.agenda.next_at()
+        due_at = self.timer_queue.next_at()
         if not self.started or due_at is None:
             return
         delay = max(0.0, due_at - self.now())
-        self.handle = asyncio.get_running_loop().call_later(delay, self.wake)
+        self.handle = asyncio.get_running_loop().call_later(
+            delay, self.start_due_calls
+        )
 
-    def wake(self) -> None:
+    def start_due_calls(self) -> None:
         """Begin every call that is due."""
-        while subscription := self.agenda.pop_due(self.now()):
+        while subscription := self.timer_queue.pop_due(self.now()):
             call = asyncio.create_task(self.run(subscription))
             self.calls.add(call)
             call.add_done_callback(self.calls.discard)
@@ -106,5 +108,5 @@
           subscription: The subscription that is due.
         """
         await run_callback(subscription, self.now())
-        self.agenda.finish(subscription, self.now())
+        self.timer_queue.reschedule(subscription, self.now())
         self.arm()
--- a/packages/jackdawcrank-proxy/tests/config/test_collector.py
+++ b/packages/jackdawcrank-proxy/tests/config/test_compactor.py
@@ -6,35 +6,35 @@
 import pytest
 
 from jackdawcrank.config import (
-    ChangeLogCollector,
+    ChangeLogCompactor,
     ConfigurationFollower,
     decode_snapshot,
     encode_snapshot,
 )
-from jackdawcrank.config.collector import DELETES_PER_TRANSACTION
+from jackdawcrank.config.compactor import DELETES_PER_TRANSACTION
 from jackdawcrank.store import Head, StoreClient, read_head
 from jackdawcrank.timer import ManualTimer
 from jackdawcrank_standins.platform import Platform
 
 Append = Callable[..., Any]
 CHANGES = 12
-COLLECT_AT = 10
-KEEP = 4
+COMPACTION_THRESHOLD = 10
+RETAINED_CHANGES = 4
 
 
 @pytest.fixture
-async def collector(
+async def compactor(
     client: StoreClient, follower: ConfigurationFollower, append: Append
-) -> ChangeLogCollector:
+) -> ChangeLogCompactor:
     for number in range(1, CHANGES + 1):
         await append(f"g{number % 5}", number)
     await follower.read()
-    return ChangeLogCollector(
+    return ChangeLogCompactor(
         client,
         follower.state,
         ManualTimer(),
-        collect_at=COLLECT_AT,
-        keep=KEEP,
+        compaction_threshold=COMPACTION_THRESHOLD,
+        retained_changes=RETAINED_CHANGES,
     )
 
 
@@ -45,23 +45,26 @@
 
 
 async def test_covered_changes_are_deleted(
-    collector: ChangeLogCollector, client: StoreClient, platform: Platform
+    compactor: ChangeLogCompactor, client: StoreClient, platform: Platform
 ) -> None:
-    assert await collector.collect()
+    assert await compactor.compact()
     head = await head_of(client)
-    assert (head.version, head.floor) == (CHANGES, CHANGES - KEEP + 1)
+    assert (head.version, head.floor) == (
+        CHANGES,
+        CHANGES - RETAINED_CHANGES + 1,
+    )
     rows, _ = platform.tables.scan("changes", "", 1000)
     left = [int(row.key) for row in rows]
     assert left == list(range(head.floor, CHANGES + 1))
 
 
-async def test_a_new_proxy_loads_the_snapshot_and_the_rest(
-    collector: ChangeLogCollector,
+async def test_new_proxy_loads_snapshot_and_later_changes(
+    compactor: ChangeLogCompactor,
     client: StoreClient,
     follower: ConfigurationFollower,
     append: Append,
 ) -> None:
-    await collector.collect()
+    await compactor.compact()
     await append("g1", 99)
     await follower.read()
     new = ConfigurationFollower(client, ManualTimer())
@@ -81,10 +84,14 @@
     for number in range(2, CHANGES):
         await append("g", number)
     await quick.read()
-    collector = ChangeLogCollector(
-        client, quick.state, ManualTimer(), collect_at=COLLECT_AT, keep=1
+    compactor = ChangeLogCompactor(
+        client,
+        quick.state,
+        ManualTimer(),
+        compaction_threshold=COMPACTION_THRESHOLD,
+        retained_changes=1,
     )
-    assert await collector.collect()
+    assert await compactor.compact()
     replaced: list[int] = []
     slow.on_change = lambda c, changes: replaced.append(len(changes))
     await slow.read()
@@ -92,17 +99,17 @@
     assert replaced == [0]
 
 
-async def test_a_short_log_is_left_alone(
-    collector: ChangeLogCollector, client: StoreClient
+async def test_log_below_threshold_is_not_truncated(
+    compactor: ChangeLogCompactor, client: StoreClient
 ) -> None:
-    collector.collect_at = CHANGES + 1
+    compactor.compaction_threshold = CHANGES + 1
     before = await head_of(client)
-    assert not await collector.collect()
+    assert not await compactor.compact()
     assert await head_of(client) == before
 
 
-async def test_a_race_with_a_change_shortens_nothing(
-    collector: ChangeLogCollector,
+async def test_concurrent_change_aborts_truncation(
+    compactor: ChangeLogCompactor,
     client: StoreClient,
     append: Append,
     platform: Platform,
@@ -115,37 +122,41 @@
         return await put_object(*args, **named)
 
     monkeypatch.setattr(client, "put_object", put_after_change)
-    assert not await collector.collect()
+    assert not await compactor.compact()
     assert (await head_of(client)).floor == 1
     rows, _ = platform.tables.scan("changes", "", 1000)
     assert len(rows) == CHANGES + 1
 
 
-async def test_a_long_log_is_shortened_step_by_step(
+async def test_long_log_is_truncated_in_batches(
     client: StoreClient, follower: ConfigurationFollower, append: Append
 ) -> None:
     total = DELETES_PER_TRANSACTION + 50
     for number in range(total):
         await append("g", number % 90 + 1)
     await follower.read()
-    collector = ChangeLogCollector(
-        client, follower.state, ManualTimer(), collect_at=100, keep=10
+    compactor = ChangeLogCompactor(
+        client,
+        follower.state,
+        ManualTimer(),
+        compaction_threshold=100,
+        retained_changes=10,
     )
     floors: list[int] = []
-    collector.on_collected = lambda head: floors.append(head.floor)
-    assert await collector.collect()
+    compactor.on_compacted = lambda head: floors.append(head.floor)
+    assert await compactor.compact()
     assert floors == [DELETES_PER_TRANSACTION + 1, total - 9]
 
 
 async def test_only_the_last_two_snapshots_are_kept(
-    collector: ChangeLogCollector,
+    compactor: ChangeLogCompactor,
     client: StoreClient,
     follower: ConfigurationFollower,
     append: Append,
     platform: Platform,
 ) -> None:
     for _ in range(4):
-        assert await collector.collect()
+        assert await compactor.compact()
         for number in range(CHANGES):
             await append("g1", number + 1)
         await follower.read()
@@ -154,9 +165,9 @@
 
 
 async def test_a_malformed_snapshot_is_not_adopted(
-    collector: ChangeLogCollector, client: StoreClient
+    compactor: ChangeLogCompactor, client: StoreClient
 ) -> None:
-    await collector.collect()
+    await compactor.compact()
     snapshot = (await head_of(client)).snapshot
     assert snapshot is not None
     await client.put_object(snapshot, b"garbage")
@@ -165,16 +176,16 @@
     assert new.version == 0
 
 
-def test_a_snapshot_survives_its_bytes(
-    collector: ChangeLogCollector,
+def test_snapshot_round_trip(
+    compactor: ChangeLogCompactor,
 ) -> None:
-    current = collector.state.current
+    current = compactor.state.current
     assert decode_snapshot(encode_snapshot(current)) == current
 
 
 @pytest.mark.parametrize("cut", [0, 1, 20])
 def test_a_truncated_snapshot_is_refused(
-    collector: ChangeLogCollector, cut: int
+    compactor: ChangeLogCompactor, cut: int
 ) -> None:
-    data = encode_snapshot(collector.state.current)
+    data = encode_snapshot(compactor.state.current)
     assert decode_snapshot(data[:cut]) is None
--- a/packages/jackdawcrank-proxy/tests/config/test_follower.py
+++ b/packages/jackdawcrank-proxy/tests/config/test_follower.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from jackdawcrank.config import (
-    ChangeLogCollector,
+    ChangeLogCompactor,
     ConfigurationFollower,
-    Learned,
-    learned_from,
+    PeerUpdate,
+    decode_peer_record,
     peer_records,
 )
 from jackdawcrank.config import follower as follower_module
@@ -46,7 +46,7 @@
 )
 
 
-async def test_changes_come_into_force(
+async def test_changes_are_applied(
     follower: ConfigurationFollower, append: Append, timer: ManualTimer
 ) -> None:
     seen: list[tuple[int, int]] = []
@@ -62,7 +62,7 @@
     assert seen == [(2, 2)]
 
 
-async def test_a_head_read_is_passed_on_with_the_instant_before_it(
+async def test_head_read_reports_time_before_send(
     follower: ConfigurationFollower, append: Append, timer: ManualTimer
 ) -> None:
     reads: list[tuple[float, int, int]] = []
@@ -75,7 +75,7 @@
     assert reads == [(7.0, 1, 1)]
 
 
-async def test_no_lease_is_renewed_on_a_head_not_caught_up_with(
+async def test_head_read_is_not_reported_before_catch_up(
     follower: ConfigurationFollower,
     append: Append,
     monkeypatch: pytest.MonkeyPatch,
@@ -94,7 +94,7 @@
     assert reads == [1]
 
 
-async def test_a_quiet_store_costs_one_read_per_interval(
+async def test_idle_follower_reads_head_once_per_interval(
     follower: ConfigurationFollower,
     client: StoreClient,
     append: Append,
@@ -108,36 +108,36 @@
     assert 95 <= client.traffic.reads - before <= 105
 
 
-async def test_a_new_version_heard_from_a_peer_is_read_at_once(
+async def test_newer_peer_version_triggers_immediate_read(
     follower: ConfigurationFollower, append: Append, timer: ManualTimer
 ) -> None:
     await follower.start()
     await append("a", 3)
     await timer.advance(0.2)
-    await follower.peer_is_at(1)
+    await follower.handle_peer_version(1)
     assert follower.version == 1
 
 
-async def test_versions_that_follow_closely_are_each_read_once(
+async def test_consecutive_peer_versions_are_each_read_once(
     follower: ConfigurationFollower, client: StoreClient, append: Append
 ) -> None:
     await follower.read()
     for version in (1, 2):
         await append("a", version)
-        await follower.peer_is_at(version)
+        await follower.handle_peer_version(version)
         assert follower.version == version
     before = client.traffic.reads
-    await follower.peer_is_at(2)
-    await follower.peer_is_at(9)
-    await follower.peer_is_at(9)
+    await follower.handle_peer_version(2)
+    await follower.handle_peer_version(9)
+    await follower.handle_peer_version(9)
     assert client.traffic.reads == before + 1
 
 
-async def test_store_state_is_told_when_it_changes(
+async def test_store_availability_changes_are_reported(
     follower: ConfigurationFollower, platform: Platform, timer: ManualTimer
 ) -> None:
     states: list[bool] = []
-    follower.on_store = states.append
+    follower.on_store_availability = states.append
     await follower.start()
     platform.faults.stop(StopMode.REFUSE)
     await timer.advance(2.0)
@@ -147,7 +147,7 @@
     assert states == [True, False, True]
 
 
-async def test_a_proxy_cut_off_from_the_store_learns_from_peers(
+async def test_follower_without_store_reads_from_peers(
     follower: ConfigurationFollower,
     client: StoreClient,
     append: Append,
@@ -162,12 +162,12 @@
     renewed: list[int] = []
     follower.on_head_read = lambda sent_at, version: renewed.append(version)
 
-    async def ask(version: int) -> list[Learned]:
+    async def ask(version: int) -> list[PeerUpdate]:
         _, records = peer_records(peer.state, version, 100)
-        found = [learned_from(record) for record in records]
+        found = [decode_peer_record(record) for record in records]
         return [item for item in found if item is not None]
 
-    follower.learn_from_peers = ask
+    follower.read_from_peers = ask
     platform.faults.stop(StopMode.REFUSE)
     await timer.advance(5.0)
     await follower.read()
@@ -176,7 +176,7 @@
     assert renewed == []
 
 
-async def test_a_peer_that_forgot_changes_sends_everything(
+async def test_peer_without_old_changes_sends_snapshot(
     append: Append, client: StoreClient
 ) -> None:
     source = ConfigurationFollower(client, ManualTimer())
@@ -187,13 +187,13 @@
     first, records = peer_records(source.state, 2, 100)
     assert first == 5
     target = ConfigurationFollower(client, ManualTimer())
-    target.learn_records(records)
+    target.apply_peer_records(records)
     assert target.configuration == source.configuration
 
 
-def test_malformed_records_are_passed_over() -> None:
+def test_malformed_records_are_ignored() -> None:
     bad = (b"", b"{", b"[]", b"{}", b'{"snapshot": "AA"}', b'{"version": 1}')
-    assert [learned_from(record) for record in bad] == [None] * len(bad)
+    assert [decode_peer_record(record) for record in bad] == [None] * len(bad)
 
 
 class Scenario:
@@ -208,8 +208,12 @@
         self.expected = [Configuration()]
         self.follower = self.new_follower()
         self.peer = self.new_follower()
-        self.collector = ChangeLogCollector(
-            self.client, self.peer.state, ManualTimer(), collect_at=4, keep=1
+        self.compactor = ChangeLogCompactor(
+            self.client,
+            self.peer.state,
+            ManualTimer(),
+            compaction_threshold=4,
+            retained_changes=1,
         )
         self.stale: list[bytes] = []
 
@@ -231,12 +235,12 @@
         elif event == "ask peer":
             _, records = peer_records(self.peer.state, self.follower.version, 3)
             self.stale += records
-            self.follower.learn_records(records)
+            self.follower.apply_peer_records(records)
         elif event == "stale records":
             self.rng.shuffle(self.stale)
-            self.follower.learn_records(self.stale)
+            self.follower.apply_peer_records(self.stale)
         elif event == "collect":
-            await self.collector.collect()
+            await self.compactor.compact()
         else:
             await self.restart()
 
@@ -254,7 +258,7 @@
         old = self.follower
         self.follower = self.new_follower()
         await self.follower.read()
-        if self.follower.store_answers:
+        if self.follower.store_available:
             assert self.follower.version >= old.version
 
     def check(self, before: int, restarted: bool) -> None:
@@ -295,7 +299,7 @@
     asyncio.run(run())
 
 
-def test_a_state_that_was_paused_does_not_go_back() -> None:
+def test_delayed_old_changes_do_not_revert_state() -> None:
     """Changes that were read before a pause arrive after newer ones."""
     state = ConfigurationState()
     changes = [
--- a/packages/jackdawcrank-proxy/tests/logs/test_logs.py
+++ b/packages/jackdawcrank-proxy/tests/logs/test_logs.py
@@ -56,7 +56,7 @@
     }
 
 
-def test_an_exception_stays_on_its_line() -> None:
+def test_exception_is_logged_on_one_line() -> None:
     record = make_record("failed")
     try:
         raise RuntimeError("first\nsecond")
@@ -69,7 +69,7 @@
     )
 
 
-def test_a_logged_event_carries_the_ids_of_the_time_line(
+def test_logged_event_has_timeline_ids(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     configure_logging("json", "info")
@@ -93,6 +93,8 @@
 @pytest.mark.parametrize(
     ("log_format", "verbosity"), [("xml", "info"), ("text", "loud")]
 )
-def test_unknown_choices_are_refused(log_format: str, verbosity: str) -> None:
+def test_unknown_format_or_verbosity_is_rejected(
+    log_format: str, verbosity: str
+) -> None:
     with pytest.raises(ValueError, match="xml|loud"):
         configure_logging(log_format, verbosity)
--- a/packages/jackdawcrank-proxy/tests/membership/test_tracker.py
+++ b/packages/jackdawcrank-proxy/tests/membership/test_tracker.py
@@ -58,7 +58,7 @@
     assert one.view.live == two.view.live == ("vm-1", "vm-2")
 
 
-async def test_a_listed_vm_that_died_is_left_out(
+async def test_dead_listed_vm_is_removed_from_view(
     new_tracker: NewTracker, timer: ManualTimer
 ) -> None:
     one, two = new_tracker("vm-1"), new_tracker("vm-2")
@@ -71,7 +71,7 @@
     assert one.view.live == ("vm-1",)
 
 
-async def test_failing_streams_bring_the_row_into_view(
+async def test_stream_failure_triggers_lease_row_read(
     new_tracker: NewTracker, timer: ManualTimer
 ) -> None:
     one, two = new_tracker("vm-1"), new_tracker("vm-2")
@@ -79,13 +79,13 @@
     await two.start()
     one.stream_failed("vm-2")
     views: list[MembershipView] = []
-    one.on_view = views.append
+    one.on_view_change = views.append
     await timer.advance(60.0)
     assert one.view.live == ("vm-1", "vm-2")
     assert len(views) <= 2
 
 
-async def test_an_unlisted_vm_that_renews_is_taken_in(
+async def test_unlisted_vm_with_lease_joins_view(
     new_tracker: NewTracker, timer: ManualTimer
 ) -> None:
     one, three = new_tracker("vm-1"), new_tracker("vm-3")
@@ -96,7 +96,7 @@
     assert one.view.vms["vm-3"] == vm("vm-3")
 
 
-async def test_leaving_is_told_and_the_row_is_removed(
+async def test_leave_is_announced_and_lease_row_deleted(
     new_tracker: NewTracker, timer: ManualTimer, client: StoreClient
 ) -> None:
     one, two = new_tracker("vm-1"), new_tracker("vm-2")
@@ -112,7 +112,7 @@
     assert [row.key for row in page.rows] == ["vm-1"]  # type: ignore[union-attr]
 
 
-async def test_a_store_outage_removes_nobody(
+async def test_store_outage_removes_no_vm(
     new_tracker: NewTracker, timer: ManualTimer, platform: Platform
 ) -> None:
     one, two = new_tracker("vm-1"), new_tracker("vm-2")
@@ -125,12 +125,12 @@
     platform.faults.start()
     one.store.channel.breaker.succeeded()
     seen: list[Any] = []
-    one.on_view = seen.append
+    one.on_view_change = seen.append
     await timer.advance(60.0)
     assert seen == []
 
 
-async def test_the_cost_is_bounded_by_intervals(
+async def test_store_requests_are_bounded_by_intervals(
     new_tracker: NewTracker, timer: ManualTimer, client: StoreClient
 ) -> None:
     one = new_tracker("vm-1")
@@ -140,7 +140,7 @@
     assert 150 <= client.traffic.requests - before <= 250
 
 
-def test_what_is_longer_is_read_less_often() -> None:
+def test_read_interval_grows_with_size() -> None:
     assert list_interval_seconds(2) == page_interval_seconds(2) == 1.0
     assert list_interval_seconds(700) == 105.0
     assert page_interval_seconds(PAGE_ROWS) == 10.0
@@ -159,19 +159,19 @@
     assert one.view.live == two.view.live == ("vm-1", "vm-2")
 
 
-async def test_a_vm_heard_on_a_stream_is_looked_up(
+async def test_lease_row_of_vm_heard_on_stream_is_read(
     new_tracker: NewTracker, timer: ManualTimer
 ) -> None:
     one, three = new_tracker("vm-1"), new_tracker("vm-3")
     await one.start()
     await three.renew(timer.now())
-    one.page_due = float("inf")
+    one.next_page_read_at = float("inf")
     one.heard("vm-3")
     await timer.advance(2.0)
     assert one.view.vms["vm-3"] == vm("vm-3")
 
 
-async def test_the_list_tells_a_vm_of_its_own_state(
+async def test_vm_list_sets_own_vm_state(
     new_tracker: NewTracker, timer: ManualTimer, platform: Platform
 ) -> None:
     one = new_tracker("vm-1")
--- a/packages/jackdawcrank-proxy/tests/operators/test_actions.py
+++ b/packages/jackdawcrank-proxy/tests/operators/test_actions.py
@@ -241,4 +241,4 @@
         assert (first["sequence"], second["sequence"]) == (1, 2)
         await proxy.api.close()
         assert await answer.content.read() == b""
-    assert timeline.followers == []
+    assert timeline.subscriptions == []
--- a/packages/jackdawcrank-proxy/tests/timeline/test_timeline.py
+++ b/packages/jackdawcrank-proxy/tests/timeline/test_timeline.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jackdawcrank.timeline import Timeline
-from jackdawcrank.timeline import follower as follower_module
+from jackdawcrank.timeline import event_subscription as subscription_module
 from jackdawcrank_wire.events import EventKind, TimelineEvent
 
 
@@ -46,7 +46,7 @@
         (20, [], 0),
     ],
 )
-def test_a_reader_learns_what_it_missed(
+def test_since_reports_dropped_events(
     timeline: Timeline, since: int, kept: list[int], dropped: int
 ) -> None:
     fill(timeline, 8)
@@ -55,26 +55,26 @@
     assert found.dropped == dropped
 
 
-async def test_followers_get_what_is_recorded_from_now_on(
+async def test_subscription_receives_only_later_events(
     timeline: Timeline,
 ) -> None:
     fill(timeline, 2)
-    follower = timeline.follow()
+    event_subscription = timeline.follow()
     fill(timeline, 2)
-    follower.close()
+    event_subscription.close()
     fill(timeline, 1)
-    assert [event.sequence async for event in follower] == [3, 4]
-    assert timeline.followers == []
+    assert [event.sequence async for event in event_subscription] == [3, 4]
+    assert timeline.subscriptions == []
 
 
-async def test_a_slow_follower_loses_the_oldest(
+async def test_full_queue_drops_oldest_events(
     timeline: Timeline, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(follower_module, "QUEUE_LENGTH", 3)
-    follower = timeline.follow()
+    monkeypatch.setattr(subscription_module, "QUEUE_LENGTH", 3)
+    event_subscription = timeline.follow()
     fill(timeline, 6)
     timeline.close()
-    assert [event.sequence async for event in follower] == [5, 6]
+    assert [event.sequence async for event in event_subscription] == [5, 6]
 
 
 def test_listeners_see_every_event(timeline: Timeline) -> None:
--- a/packages/jackdawcrank-proxy/tests/timer/test_manual_timer.py
+++ b/packages/jackdawcrank-proxy/tests/timer/test_manual_timer.py
@@ -7,7 +7,7 @@
 from jackdawcrank.timer import ManualTimer
 
 
-async def test_calls_come_at_each_interval() -> None:
+async def test_callback_runs_at_each_interval() -> None:
     timer = ManualTimer(now=10.0)
     calls: list[float] = []
 
@@ -22,7 +22,7 @@
     assert timer.now() == pytest.approx(16.1)
 
 
-async def test_calls_of_several_subscribers_come_in_order_of_time() -> None:
+async def test_callbacks_run_in_order_of_due_time() -> None:
     timer = ManualTimer()
     calls: list[tuple[str, float]] = []
 
@@ -44,7 +44,7 @@
     ]
 
 
-async def test_an_exception_stops_nobody() -> None:
+async def test_exception_does_not_stop_subscriptions() -> None:
     timer = ManualTimer()
     calls: list[float] = []
 
@@ -58,7 +58,7 @@
     assert calls == [1.0, 1.0, 2.0, 2.0]
 
 
-async def test_a_single_call_comes_once() -> None:
+async def test_call_later_runs_once() -> None:
     timer = ManualTimer()
     calls: list[float] = []
 
@@ -71,7 +71,7 @@
     assert calls == [1.0]
 
 
-async def test_a_subscriber_may_close_itself_and_add_others() -> None:
+async def test_callback_can_close_itself_and_schedule_others() -> None:
     timer = ManualTimer()
     calls: list[float] = []
 
--- a/packages/jackdawcrank-proxy/tests/timer/test_timer_service.py
+++ b/packages/jackdawcrank-proxy/tests/timer/test_timer_service.py
@@ -7,32 +7,32 @@
 from jackdawcrank.timer import TimerService
 
 
-class HandClock:
+class FakeClock:
     def __init__(self) -> None:
         self.time = 0.0
 
     def __call__(self) -> float:
         return self.time
 
-    async def move(self, service: TimerService, seconds: float) -> None:
+    async def advance(self, service: TimerService, seconds: float) -> None:
         self.time += seconds
-        service.wake()
+        service.start_due_calls()
         for _ in range(5):
             await asyncio.sleep(0)
 
 
 @pytest.fixture
-def clock() -> HandClock:
-    return HandClock()
+def clock() -> FakeClock:
+    return FakeClock()
 
 
 @pytest.fixture
-async def service(clock: HandClock) -> TimerService:
+async def service(clock: FakeClock) -> TimerService:
     return TimerService(clock)
 
 
 async def test_a_slow_call_never_overlaps_itself(
-    clock: HandClock, service: TimerService
+    clock: FakeClock, service: TimerService
 ) -> None:
     begun: list[float] = []
     release = asyncio.Event()
@@ -42,17 +42,17 @@
         await release.wait()
 
     service.subscribe("slow", 1.0, slow)
-    await clock.move(service, 1.0)
-    await clock.move(service, 5.0)
+    await clock.advance(service, 1.0)
+    await clock.advance(service, 5.0)
     assert begun == [1.0]
     release.set()
-    await clock.move(service, 0.0)
-    await clock.move(service, 1.0)
+    await clock.advance(service, 0.0)
+    await clock.advance(service, 1.0)
     assert begun == [1.0, 7.0]
 
 
-async def test_a_slow_call_delays_no_other(
-    clock: HandClock, service: TimerService
+async def test_slow_callback_does_not_delay_others(
+    clock: FakeClock, service: TimerService
 ) -> None:
     calls: list[float] = []
 
@@ -64,14 +64,14 @@
 
     service.subscribe("stuck", 1.0, stuck)
     service.subscribe("other", 1.0, call)
-    await clock.move(service, 1.0)
-    await clock.move(service, 1.0)
+    await clock.advance(service, 1.0)
+    await clock.advance(service, 1.0)
     assert calls == [1.0, 2.0]
     await service.close()
 
 
-async def test_an_exception_stops_nobody(
-    clock: HandClock, service: TimerService
+async def test_exception_does_not_stop_subscriptions(
+    clock: FakeClock, service: TimerService
 ) -> None:
     calls: list[float] = []
 
@@ -80,12 +80,12 @@
         raise RuntimeError
 
     service.subscribe("broken", 1.0, broken)
-    await clock.move(service, 1.0)
-    await clock.move(service, 1.0)
+    await clock.advance(service, 1.0)
+    await clock.advance(service, 1.0)
     assert calls == [1.0, 2.0]
 
 
-async def test_the_loop_calls_back_by_itself() -> None:
+async def test_event_loop_runs_callbacks() -> None:
     service = TimerService()
     called = asyncio.Event()
 
@@ -98,7 +98,7 @@
     await service.close()
 
 
-async def test_an_earlier_call_that_is_added_later_is_not_late() -> None:
+async def test_earlier_call_added_later_runs_on_time() -> None:
     service = TimerService()
     called = asyncio.Event()
 
@@ -116,7 +116,7 @@
 
 
 async def test_close_cancels_a_call_in_progress(
-    clock: HandClock, service: TimerService
+    clock: FakeClock, service: TimerService
 ) -> None:
     cancelled: list[bool] = []
 
@@ -128,6 +128,6 @@
             raise
 
     service.subscribe("stuck", 1.0, stuck)
-    await clock.move(service, 1.0)
+    await clock.advance(service, 1.0)
     await service.close()
     assert cancelled == [True]
