--- a/packages/jackdawcrank-proxy/src/jackdawcrank/logs/configure.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/logs/configure.py
@@ -1,4 +1,4 @@
-"""Setting up of logs."""
+"""Configuration of logging."""
 
 import logging as standard_logging
 
@@ -13,19 +13,19 @@
 def configure_logging(
     log_format: LogFormat | str = LogFormat.TEXT, verbosity: str = "info"
 ) -> None:
-    """Send structured lines to standard error.
+    """Write structured log lines to standard error.
 
     Args:
       log_format: `text` for key=value pairs or `json`.
-      verbosity: The least important level that is written: `debug`, `info`,
+      verbosity: The lowest level that is written: `debug`, `info`,
         `warning`, `error` or `fatal`.
 
     Raises:
-      ValueError: The format or the verbosity is not one of these.
+      ValueError: The format or the verbosity is unknown.
     """
     if verbosity not in VERBOSITIES:
         raise ValueError(f"{verbosity!r} is not one of {VERBOSITIES}")
-    # The options come from click; absl has no command line to wait for.
+    # click parses the options, so absl must not wait for a command line.
     flags.FLAGS.mark_as_parsed()
     formatter = make_formatter(LogFormat(log_format))
     logging.use_absl_handler()
@@ -35,10 +35,10 @@
 
 
 def make_formatter(log_format: LogFormat) -> standard_logging.Formatter:
-    """Return the formatter of a form.
+    """Return the formatter for a log format.
 
     Args:
-      log_format: The form.
+      log_format: The log format.
     """
     if log_format is LogFormat.JSON:
         return JsonFormatter()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/logs/formatters.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/logs/formatters.py
@@ -1,4 +1,4 @@
-"""The forms of a log line."""
+"""Formatters of log lines."""
 
 import datetime
 import json
@@ -9,7 +9,7 @@
 
 
 def record_fields(record: logging.LogRecord) -> dict[str, typing.Any]:
-    """Return what a log line says, in the order that it says it.
+    """Return the fields of a log record in output order.
 
     Args:
       record: The log record.
@@ -54,7 +54,7 @@
 
 
 def quote(value: object) -> str:
-    """Return a value as text, in JSON's quotes where it is not one word.
+    """Return a value as text, quoted as JSON unless it is a single word.
 
     Args:
       value: The value.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/logs/log_event.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/logs/log_event.py
@@ -1,4 +1,4 @@
-"""Log lines with the ids that the time line uses."""
+"""Log lines for timeline events."""
 
 import logging as standard_logging
 
@@ -9,7 +9,7 @@
 
 
 def log_event(event: TimelineEvent, level: int = standard_logging.INFO) -> None:
-    """Write an event of the time line to the log.
+    """Write a timeline event to the log.
 
     Args:
       event: The event.
@@ -28,7 +28,7 @@
 
 
 def optional_ids(event: TimelineEvent) -> dict[str, object]:
-    """Return those of an event's ids that it has.
+    """Return the optional ids that are set on an event.
 
     Args:
       event: The event.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/logs/log_format.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/logs/log_format.py
@@ -1,10 +1,10 @@
-"""The choice of a log line's form."""
+"""Formats of log lines."""
 
 import enum
 
 
 class LogFormat(enum.StrEnum):
-    """The form of log lines."""
+    """The format of log lines."""
 
     TEXT = "text"
     JSON = "json"
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Metrics of a proxy and their way to statsd."""
+"""Metrics of a proxy and their export to statsd."""
 
 from jackdawcrank.metrics import names
 from jackdawcrank.metrics.metric_spec import MetricKind, MetricSpec
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/metric_spec.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/metric_spec.py
@@ -6,7 +6,7 @@
 
 
 class MetricKind(enum.StrEnum):
-    """How a metric's values are combined."""
+    """How the values of a metric are aggregated."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -15,15 +15,15 @@
 
 @attrs.frozen
 class MetricSpec:
-    """One metric.
+    """Declaration of a metric.
 
     Attributes:
-      name: Its name below the prefix.
-      kind: How its values are combined.
+      name: Its name without the prefix.
+      kind: How its values are aggregated.
       unit: The unit of its values.
-      help: What it says.
-      alert: When operators should be woken; empty for never.
-      per_group: Whether a database group's name follows the metric's.
+      help: What it measures.
+      alert: The condition that should alert operators; empty for none.
+      per_group: Whether the name of a database group is appended.
     """
 
     name: str
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/metrics.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/metrics.py
@@ -1,4 +1,4 @@
-"""Collection of metrics and their way to statsd."""
+"""Collection of metrics and their export to statsd."""
 
 import collections
 import collections.abc
@@ -22,12 +22,12 @@
 
 @attrs.define
 class TimingTotals:
-    """A timing metric since the start and since the last flush.
+    """Totals of a timing metric since the start, and its recent samples.
 
     Attributes:
-      count: The values since the start.
+      count: The number of values since the start.
       total_ms: Their sum in milliseconds.
-      max_ms: The greatest.
+      max_ms: The greatest value in milliseconds.
       samples: Values since the last flush, at most `MAX_SAMPLES`.
     """
 
@@ -37,7 +37,7 @@
     samples: list[float] = attrs.field(factory=list)
 
     def add(self, value_ms: float) -> None:
-        """Take a value in.
+        """Add a value.
 
         Args:
           value_ms: The value in milliseconds.
@@ -50,12 +50,13 @@
 
 
 class Metrics:
-    """Adds metrics up in memory and sends what changed when flushed.
+    """Aggregates metrics in memory and sends changes on each flush.
 
     One flush sends a bounded number of lines, so that the traffic does not
-    follow the number of groups. Counters and gauges that do not fit wait for
-    the next flush; samples of timings that do not fit are dropped. Without a statsd host nothing is sent, and the values are still there for
-    the status page.
+    grow with the number of groups. Counters and gauges that do not fit are
+    sent by a later flush; timing samples that do not fit are dropped. Without
+    a statsd host nothing is sent, but the values remain available to the
+    status page.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         self.counters: collections.Counter[Key] = collections.Counter()
         self.unsent: collections.Counter[Key] = collections.Counter()
         self.gauges: dict[Key, float] = {}
-        # Keys in the order of their change, as a dict keeps it.
+        # Used as an ordered set: the keys in the order in which they changed.
         self.changed_gauges: dict[Key, None] = {}
         self.timings: dict[Key, TimingTotals] = {}
 
@@ -90,8 +91,8 @@
 
         Args:
           spec: The metric.
-          value: How much to add.
-          group: The database group, for metrics that are kept per group.
+          value: The amount to add.
+          group: The database group, for metrics that are per group.
         """
         self.counters[spec, group] += value
         self.unsent[spec, group] += value
@@ -101,8 +102,8 @@
 
         Args:
           spec: The metric.
-          value: The present value.
-          group: The database group, for metrics that are kept per group.
+          value: The current value.
+          group: The database group, for metrics that are per group.
         """
         key = (spec, group)
         if self.gauges.get(key) != value:
@@ -115,16 +116,16 @@
         Args:
           spec: The metric.
           seconds: The duration in seconds.
-          group: The database group, for metrics that are kept per group.
+          group: The database group, for metrics that are per group.
         """
         totals = self.timings.setdefault((spec, group), TimingTotals())
         totals.add(seconds * MILLISECONDS_PER_SECOND)
 
     async def flush(self, now: float) -> None:
-        """Send what changed since the last call; a timer's callback.
+        """Send the changes since the last call; used as a timer callback.
 
         Args:
-          now: The timer's time; not used.
+          now: The time on the timer's clock; not used.
         """
         del now
         if self.client:
@@ -134,7 +135,7 @@
             totals.samples.clear()
 
     def send(self, pipeline: "statsd.client.base.PipelineBase") -> None:
-        """Write what changed into datagrams, as far as the bound allows.
+        """Write changes to a pipeline, up to `MAX_LINES_PER_FLUSH` lines.
 
         Args:
           pipeline: The statsd client's pipeline.
@@ -151,7 +152,7 @@
             pipeline.timing(metric_path(key), sample)
 
     def samples(self) -> collections.abc.Iterator[tuple[Key, float]]:
-        """Yield the timings' samples, one of each metric and group in turn."""
+        """Yield timing samples, round-robin over metrics and groups."""
         rounds = itertools.zip_longest(
             *(
                 [(key, sample) for sample in totals.samples]
@@ -162,7 +163,7 @@
             yield from (pair for pair in pairs if pair is not None)
 
     def snapshot(self) -> dict[str, float]:
-        """Return every value since the start, by its path."""
+        """Return the values since the start by metric path."""
         values: dict[str, float] = {}
         for key, count in self.counters.items():
             values[metric_path(key)] = count
@@ -176,7 +177,7 @@
         return dict(sorted(values.items()))
 
     async def close(self) -> None:
-        """Send the rest and close the socket."""
+        """Flush once more and close the socket."""
         await self.flush(0.0)
         if self.client:
             self.client.close()
@@ -184,7 +185,7 @@
 
 
 def metric_path(key: Key) -> str:
-    """Return a metric's name below the prefix.
+    """Return a metric's name without the prefix.
 
     Args:
       key: The metric and its group, if any.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/names.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/names.py
@@ -1,4 +1,4 @@
-"""Every metric that a proxy sends, declared once."""
+"""Declarations of all metrics that a proxy sends."""
 
 from jackdawcrank.metrics.metric_spec import MetricKind, MetricSpec
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/page.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/metrics/page.py
@@ -1,4 +1,4 @@
-"""The list of metrics for the operators' page."""
+"""Table of metrics for the operators' page."""
 
 from jackdawcrank.metrics.metric_spec import MetricSpec
 from jackdawcrank.metrics.names import METRICS
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/__init__.py
@@ -1,4 +1,4 @@
-"""The events of one process."""
+"""Timeline of the events of one process."""
 
 from jackdawcrank.timeline.event_aggregator import EventAggregator
 from jackdawcrank.timeline.event_subscription import EventSubscription
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/event_aggregator.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/event_aggregator.py
@@ -1,4 +1,4 @@
-"""Aggregation of refusals into few events."""
+"""Aggregation of frequent events."""
 
 import collections
 
@@ -7,9 +7,10 @@
 
 
 class EventAggregator:
-    """Counts what would flood the time line and records one event for many.
+    """Counts frequent events and records totals by group and reason.
 
-    `flush` is to be called at regular intervals.
+    Recorded one by one, they would flood the timeline. `flush` must be called
+    at regular intervals.
     """
 
     def __init__(
@@ -25,7 +26,7 @@
 
         Args:
           group: The database group.
-          reason: Why it was refused.
+          reason: The reason for the refusal.
         """
         self.counts[group, reason] += 1
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/event_subscription.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/event_subscription.py
@@ -1,4 +1,4 @@
-"""A live reader of the time line."""
+"""Subscription to the events of a timeline."""
 
 import asyncio
 import collections.abc
@@ -11,8 +11,8 @@
 class EventSubscription:
     """Receives each event as it is recorded.
 
-    A follower that reads too slowly loses the oldest events that wait for
-    it; gaps in the sequence numbers show it.
+    The queue is bounded: if the subscriber reads too slowly, the oldest
+    queued events are dropped, which leaves gaps in the sequence numbers.
     """
 
     def __init__(self, unsubscribe: collections.abc.Callable[[], None]) -> None:
@@ -21,10 +21,10 @@
         self.unsubscribe = unsubscribe
 
     def enqueue(self, event: TimelineEvent | None) -> None:
-        """Add an event, at the cost of the oldest if the queue is full.
+        """Add an event; drop the oldest one if the queue is full.
 
         Args:
-          event: The event; None ends the follower.
+          event: The event; None ends the subscription.
         """
         if self.queue.full():
             self.queue.get_nowait()
@@ -40,6 +40,6 @@
         return event
 
     def close(self) -> None:
-        """Receive no further event."""
+        """Stop receiving events."""
         self.unsubscribe()
         self.enqueue(None)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/retained_events.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/retained_events.py
@@ -1,4 +1,4 @@
-"""What a process still holds of its events."""
+"""Events that a timeline still retains."""
 
 import attrs
 
@@ -10,8 +10,8 @@
     """The events above a sequence number.
 
     Attributes:
-      events: Those that are still kept, oldest first.
-      dropped: How many no longer are.
+      events: The retained events, oldest first.
+      dropped: The number of events that are no longer retained.
     """
 
     events: tuple[TimelineEvent, ...]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/timeline.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/timeline.py
@@ -1,4 +1,4 @@
-"""The events of one process."""
+"""Timeline of the events of one process."""
 
 import asyncio
 import collections
@@ -49,11 +49,11 @@
         """Add an event and return it.
 
         Args:
-          kind: What happened.
-          group: The database group concerned.
-          term: The term concerned.
-          request_id: The caller's request concerned.
-          **detail: Further facts, kept as text of bounded length.
+          kind: The kind of event.
+          group: The database group concerned; empty if none.
+          term: The term concerned; 0 if none.
+          request_id: The id of the caller's request concerned; empty if none.
+          **detail: Further details, stored as text of bounded length.
         """
         self.sequence += 1
         event = TimelineEvent(
@@ -79,7 +79,7 @@
         """Return the events above a sequence number.
 
         Args:
-          sequence: The newest number that the reader already has.
+          sequence: The highest sequence number that the reader already has.
         """
         oldest = self.sequence - len(self.events) + 1
         skipped = max(0, sequence + 1 - oldest)
@@ -88,7 +88,7 @@
         return RetainedEvents(events, dropped)
 
     def follow(self) -> EventSubscription:
-        """Return a reader of the events that are recorded from now on."""
+        """Return a subscription to all events recorded from now on."""
         event_subscription = EventSubscription(
             lambda: self.remove(event_subscription)
         )
@@ -96,7 +96,7 @@
         return event_subscription
 
     def remove(self, event_subscription: EventSubscription) -> None:
-        """Send a follower no further event.
+        """Remove a subscription.
 
         Args:
           event_subscription: The subscription; unknown ones are ignored.
@@ -105,15 +105,15 @@
             self.subscriptions.remove(event_subscription)
 
     def close(self) -> None:
-        """End every follower."""
+        """End every subscription."""
         for event_subscription in list(self.subscriptions):
             event_subscription.close()
 
 
 def detail_text(value: object) -> str:
-    """Return a fact as text of bounded length.
+    """Return a detail as text of bounded length.
 
     Args:
-      value: The fact.
+      value: The detail.
     """
     return str(value)[:MAX_DETAIL_CHARACTERS]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timer/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timer/__init__.py
@@ -1,4 +1,4 @@
-"""The timer that parts of the proxy subscribe to."""
+"""Periodic and one-shot timers for the components of the proxy."""
 
 from jackdawcrank.timer.manual_timer import ManualTimer
 from jackdawcrank.timer.subscription import Subscription, TickCallback
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timer/manual_timer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timer/manual_timer.py
@@ -1,4 +1,4 @@
-"""A timer whose time a test moves."""
+"""Timer with a clock that tests advance."""
 
 import random
 
@@ -8,14 +8,14 @@
 
 
 class ManualTimer:
-    """Calls back when `advance` is called; nothing happens by itself."""
+    """Timer that makes calls only while `advance` runs."""
 
     def __init__(self, now: float = 0.0) -> None:
         self.time = now
         self.timer_queue = TimerQueue()
 
     def now(self) -> float:
-        """Return the time in seconds that the test has reached."""
+        """Return the simulated time in seconds."""
         return self.time
 
     def subscribe(
@@ -26,14 +26,16 @@
         jitter_fraction: float = 0.0,
         rng: random.Random | None = None,
     ) -> Subscription:
-        """Call back at regular intervals, for the first time after one.
+        """Call back at regular intervals, first after one interval.
 
         Args:
-          name: Names the subscriber in logs.
-          interval_seconds: The time between two calls, above 0.
-          callback: Called with the timer's time.
-          jitter_fraction: How much each wait may vary, from 0 to 1.
-          rng: Where the jitter comes from; seeded by the name if left out.
+          name: The subscriber's name in logs.
+          interval_seconds: The time between two calls; must be above 0.
+          callback: The coroutine function to call with the current time.
+          jitter_fraction: The largest change of each interval, as a fraction from
+            0 to 1.
+          rng: The random generator for the jitter; by default one seeded with
+            the name.
 
         Raises:
           ValueError: The interval is not above 0.
@@ -53,25 +55,25 @@
         """Call back once.
 
         Args:
-          delay_seconds: The time until the call.
-          callback: Called with the timer's time.
+          delay_seconds: The time until the call, in seconds.
+          callback: The coroutine function to call with the current time.
         """
         return self.timer_queue.add_one_shot(
             delay_seconds, callback, self.now()
         )
 
     async def start(self) -> None:
-        """Do nothing; `advance` calls back."""
+        """Do nothing; `advance` makes the calls."""
 
     async def close(self) -> None:
-        """Forget every subscription."""
+        """Remove every subscription."""
         self.timer_queue = TimerQueue()
 
     async def advance(self, seconds: float) -> None:
-        """Move the time on and make the calls that fall due, one by one.
+        """Advance the time and make the calls that are due, one at a time.
 
         Args:
-          seconds: How far to move the time.
+          seconds: The time to advance by, in seconds.
         """
         end = self.time + seconds
         while subscription := self.timer_queue.pop_due(end):
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timer/subscription.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timer/subscription.py
@@ -1,4 +1,4 @@
-"""A callback that a timer calls again and again."""
+"""Subscription of a callback to a timer."""
 
 import collections.abc
 import random
@@ -15,13 +15,13 @@
     """One subscription to a timer.
 
     Attributes:
-      name: Names the subscriber in logs.
-      interval_seconds: The time between two calls.
-      callback: Called with the timer's time.
-      jitter_fraction: How much of the interval each wait may be shortened or
-        lengthened by, so that many VMs do not act at the same instant.
-      rng: Where the jitter comes from.
-      next_at: When the next call is due, on the timer's clock.
+      name: The subscriber's name in logs.
+      interval_seconds: The time between two calls; 0 for a single call.
+      callback: The coroutine function to call with the current time.
+      jitter_fraction: The largest change of each interval, as a fraction of
+        it. Jitter keeps many VMs from acting at the same time.
+      rng: The random generator for the jitter.
+      next_at: The due time of the next call, on the timer's clock.
       running: Whether a call is in progress.
       closed: Whether no further call will be made.
     """
@@ -36,14 +36,14 @@
     closed: bool = False
 
     def schedule(self, now: float) -> None:
-        """Set when the next call is due.
+        """Set the due time of the next call.
 
         Args:
-          now: The timer's time.
+          now: The current time on the timer's clock, in seconds.
         """
         jitter = self.rng.uniform(-1, 1) * self.jitter_fraction
         self.next_at = now + self.interval_seconds * (1 + jitter)
 
     def close(self) -> None:
-        """Make no further call; one in progress goes on."""
+        """Stop further calls; a call in progress continues."""
         self.closed = True
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timer/timer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timer/timer.py
@@ -1,4 +1,4 @@
-"""The interface of a timer."""
+"""Interface of timers."""
 
 import random
 import typing
@@ -7,7 +7,7 @@
 
 
 class Timer(typing.Protocol):
-    """Calls parts of the proxy when time has passed."""
+    """Calls callbacks periodically or after a delay."""
 
     def now(self) -> float:
         """Return the time in seconds on a monotonic clock."""
@@ -20,18 +20,19 @@
         jitter_fraction: float = 0.0,
         rng: random.Random | None = None,
     ) -> Subscription:
-        """Call back at regular intervals, for the first time after one.
+        """Call back at regular intervals, first after one interval.
 
         A call that takes longer than the interval delays the next one; calls
-        of one subscription never overlap. An exception is logged and stops
-        neither this subscription nor another one.
+        of one subscription never overlap. An exception is logged; it stops
+        neither this subscription nor any other.
 
         Args:
-          name: Names the subscriber in logs.
+          name: The subscriber's name in logs.
           interval_seconds: The time between two calls.
-          callback: Called with the timer's time.
-          jitter_fraction: How much each wait may vary, from 0 to 1.
-          rng: Where the jitter comes from.
+          callback: The coroutine function to call with the current time.
+          jitter_fraction: The largest change of each interval, as a fraction from
+            0 to 1.
+          rng: The random generator for the jitter.
         """
 
     def call_later(
@@ -40,12 +41,12 @@
         """Call back once.
 
         Args:
-          delay_seconds: The time until the call.
-          callback: Called with the timer's time.
+          delay_seconds: The time until the call, in seconds.
+          callback: The coroutine function to call with the current time.
         """
 
     async def start(self) -> None:
-        """Begin to call back."""
+        """Start making calls."""
 
     async def close(self) -> None:
-        """Stop calling back and cancel calls in progress."""
+        """Stop making calls and cancel calls in progress."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timer/timer_queue.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timer/timer_queue.py
@@ -1,4 +1,4 @@
-"""What a timer has to call, in order of time."""
+"""Priority queue of timer subscriptions."""
 
 import heapq
 import itertools
@@ -8,7 +8,7 @@
 
 
 class TimerQueue:
-    """The subscriptions of a timer, ordered by when they are due."""
+    """The subscriptions of a timer, ordered by due time."""
 
     def __init__(self) -> None:
         self.entries: list[tuple[float, int, Subscription]] = []
@@ -23,15 +23,16 @@
         rng: random.Random | None,
         now: float,
     ) -> Subscription:
-        """Add a subscription whose first call is one interval away.
+        """Add a periodic subscription, first due after one interval.
 
         Args:
-          name: Names the subscriber in logs.
-          interval_seconds: The time between two calls, above 0.
-          callback: Called with the timer's time.
-          jitter_fraction: How much each wait may vary, from 0 to 1.
-          rng: Where the jitter comes from.
-          now: The timer's time.
+          name: The subscriber's name in logs.
+          interval_seconds: The time between two calls; must be above 0.
+          callback: The coroutine function to call with the current time.
+          jitter_fraction: The largest change of each interval, as a fraction from
+            0 to 1.
+          rng: The random generator for the jitter.
+          now: The current time on the timer's clock, in seconds.
 
         Raises:
           ValueError: The interval is not above 0.
@@ -52,12 +53,12 @@
     def add_one_shot(
         self, delay_seconds: float, callback: TickCallback, now: float
     ) -> Subscription:
-        """Add a single call.
+        """Add a subscription that is called once.
 
         Args:
-          delay_seconds: The time until the call.
-          callback: Called with the timer's time.
-          now: The timer's time.
+          delay_seconds: The time until the call, in seconds.
+          callback: The coroutine function to call with the current time.
+          now: The current time on the timer's clock, in seconds.
         """
         name = getattr(callback, "__qualname__", repr(callback))
         subscription = Subscription(name, 0, callback, 0, random.Random(0))
@@ -66,7 +67,7 @@
         return subscription
 
     def push(self, subscription: Subscription) -> None:
-        """Insert a subscription by when it is due.
+        """Insert a subscription by its due time.
 
         Args:
           subscription: The subscription.
@@ -75,7 +76,7 @@
         heapq.heappush(self.entries, entry)
 
     def next_at(self) -> float | None:
-        """Return when the next call is due; None if nothing is waiting."""
+        """Return the due time of the next call, or None if there is none."""
         while self.entries and self.entries[0][2].closed:
             heapq.heappop(self.entries)
         return self.entries[0][0] if self.entries else None
@@ -84,7 +85,7 @@
         """Remove and return the earliest subscription that is due, if any.
 
         Args:
-          now: The timer's time.
+          now: The current time on the timer's clock, in seconds.
         """
         due_at = self.next_at()
         if due_at is None or due_at > now:
@@ -92,11 +93,11 @@
         return heapq.heappop(self.entries)[2]
 
     def reschedule(self, subscription: Subscription, now: float) -> None:
-        """Insert a subscription again after a call, if it repeats.
+        """Insert a periodic subscription again after a call; close others.
 
         Args:
           subscription: The subscription that was called.
-          now: The timer's time after the call.
+          now: The time after the call on the timer's clock, in seconds.
         """
         if subscription.closed:
             return
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timer/timer_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timer/timer_service.py
@@ -1,4 +1,4 @@
-"""The timer of a running proxy."""
+"""Timer that runs callbacks on the event loop."""
 
 import asyncio
 import collections.abc
@@ -12,7 +12,7 @@
 
 
 class TimerService:
-    """Calls parts of the proxy back on the event loop."""
+    """Timer that runs callbacks as tasks on the event loop."""
 
     def __init__(self, clock: Clock | None = None) -> None:
         self.clock = clock or asyncio.get_running_loop().time
@@ -33,14 +33,15 @@
         jitter_fraction: float = 0.0,
         rng: random.Random | None = None,
     ) -> Subscription:
-        """Call back at regular intervals, for the first time after one.
+        """Call back at regular intervals, first after one interval.
 
         Args:
-          name: Names the subscriber in logs.
-          interval_seconds: The time between two calls, above 0.
-          callback: Called with the timer's time.
-          jitter_fraction: How much each wait may vary, from 0 to 1.
-          rng: Where the jitter comes from.
+          name: The subscriber's name in logs.
+          interval_seconds: The time between two calls; must be above 0.
+          callback: The coroutine function to call with the current time.
+          jitter_fraction: The largest change of each interval, as a fraction from
+            0 to 1.
+          rng: The random generator for the jitter.
 
         Raises:
           ValueError: The interval is not above 0.
@@ -57,8 +58,8 @@
         """Call back once.
 
         Args:
-          delay_seconds: The time until the call.
-          callback: Called with the timer's time.
+          delay_seconds: The time until the call, in seconds.
+          callback: The coroutine function to call with the current time.
         """
         subscription = self.timer_queue.add_one_shot(
             delay_seconds, callback, self.now()
@@ -67,12 +68,12 @@
         return subscription
 
     async def start(self) -> None:
-        """Begin to call back."""
+        """Start making calls."""
         self.started = True
         self.arm()
 
     async def close(self) -> None:
-        """Stop calling back and cancel calls in progress."""
+        """Stop making calls and cancel calls in progress."""
         self.started = False
         if self.handle:
             self.handle.cancel()
@@ -81,7 +82,7 @@
         await asyncio.gather(*self.calls, return_exceptions=True)
 
     def arm(self) -> None:
-        """Wake up when the next call is due."""
+        """Set the event loop's timer to the due time of the next call."""
         if self.handle:
             self.handle.cancel()
             self.handle = None
@@ -94,7 +95,7 @@
         )
 
     def start_due_calls(self) -> None:
-        """Begin every call that is due."""
+        """Start a task for every call that is due."""
         while subscription := self.timer_queue.pop_due(self.now()):
             call = asyncio.create_task(self.run(subscription))
             self.calls.add(call)
@@ -102,7 +103,7 @@
         self.arm()
 
     async def run(self, subscription: Subscription) -> None:
-        """Make one call and plan the next.
+        """Make one call and schedule the next.
 
         Args:
           subscription: The subscription that is due.
--- a/packages/jackdawcrank-proxy/tests/logs/test_logs.py
+++ b/packages/jackdawcrank-proxy/tests/logs/test_logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines."""
+"""Tests of structured log lines."""
 
 import json
 import logging
--- a/packages/jackdawcrank-proxy/tests/metrics/test_metrics.py
+++ b/packages/jackdawcrank-proxy/tests/metrics/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in memory and on the wire."""
+"""Tests of the collection of metrics and their export to statsd."""
 
 import collections.abc
 import socket
--- a/packages/jackdawcrank-proxy/tests/metrics/test_metrics_page.py
+++ b/packages/jackdawcrank-proxy/tests/metrics/test_metrics_page.py
@@ -1,4 +1,4 @@
-"""The operators' page says what the declarations say."""
+"""Checks that the operators' page matches the declared metrics."""
 
 import pathlib
 
--- a/packages/jackdawcrank-proxy/tests/timeline/test_event_aggregator.py
+++ b/packages/jackdawcrank-proxy/tests/timeline/test_event_aggregator.py
@@ -1,4 +1,4 @@
-"""Many refusals in one event."""
+"""Tests of the aggregation of events."""
 
 from jackdawcrank.timeline import EventAggregator, Timeline
 
--- a/packages/jackdawcrank-proxy/tests/timeline/test_timeline.py
+++ b/packages/jackdawcrank-proxy/tests/timeline/test_timeline.py
@@ -1,4 +1,4 @@
-"""The bounded time line and its live readers."""
+"""Tests of the bounded timeline and its subscriptions."""
 
 import pytest
 
--- a/packages/jackdawcrank-proxy/tests/timer/test_manual_timer.py
+++ b/packages/jackdawcrank-proxy/tests/timer/test_manual_timer.py
@@ -1,4 +1,4 @@
-"""Calls in virtual time."""
+"""Tests of the manual timer."""
 
 import random
 
--- a/packages/jackdawcrank-proxy/tests/timer/test_timer_service.py
+++ b/packages/jackdawcrank-proxy/tests/timer/test_timer_service.py
@@ -1,4 +1,4 @@
-"""The timer on an event loop, its clock moved by hand."""
+"""Tests of the event-loop timer with a fake clock."""
 
 import asyncio
 
