--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this proxy."""
+"""Replication of the configuration to this proxy."""
 
 from jackdawcrank.config.compactor import ChangeLogCompactor
 from jackdawcrank.config.follower import ConfigurationFollower
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/compactor.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/compactor.py
@@ -1,4 +1,4 @@
-"""Shortens the change log."""
+"""Compaction of the change log."""
 
 import random
 import uuid
@@ -33,12 +33,14 @@
 class ChangeLogCompactor:
     """Writes snapshots and deletes the changes that they cover.
 
-    Every proxy runs one. The check of the head lets one of them win; the
-    jitter makes it likely that the others find nothing left to do.
+    Every proxy runs a compactor. A transaction commits only if the head is
+    unchanged, so one of several concurrent compactions succeeds. Jitter makes
+    it likely that the other proxies then find nothing left to do.
 
     Attributes:
-      compaction_threshold: How many changes the log may hold before it is shortened.
-      retained_changes: How many of the newest changes stay.
+      compaction_threshold: The number of changes in the log at which it is
+        truncated.
+      retained_changes: The number of newest changes to retain.
     """
 
     def __init__(
@@ -51,16 +53,18 @@
         retained_changes: int = RETAINED_CHANGES,
         on_compacted: Callable[[Head], None] = lambda head: None,
     ) -> None:
-        """Make a collector; `start` begins its work.
+        """Initialize a compactor; `start` activates it.
 
         Args:
           store: The store.
           state: The configuration in force here.
-          timer: Calls back.
-          rng: The source of jitter.
-          compaction_threshold: How many changes the log may hold.
-          retained_changes: How many of the newest changes stay; no more than that.
-          on_compacted: Called with the new head.
+          timer: The timer for the periodic check.
+          rng: The random generator for the jitter.
+          compaction_threshold: The number of changes in the log at which it is
+            truncated.
+          retained_changes: The number of newest changes to retain; limited to
+            `compaction_threshold`.
+          on_compacted: Called with the new head after each transaction.
         """
         self.store = store
         self.state = state
@@ -72,7 +76,7 @@
         self.subscription: Subscription | None = None
 
     async def start(self) -> None:
-        """Begin to look at regular intervals."""
+        """Start checking the log at regular intervals."""
         self.subscription = self.timer.subscribe(
             "collector",
             COMPACTION_INTERVAL_SECONDS,
@@ -82,17 +86,17 @@
         )
 
     async def close(self) -> None:
-        """Look no more."""
+        """Stop checking the log."""
         if self.subscription is not None:
             self.subscription.close()
 
     async def tick(self, now: float) -> None:
-        """Shorten the log if it is long; skip the read if it can't be."""
+        """Truncate the log if needed; skip the read of a log that is short."""
         if self.state.version >= self.compaction_threshold:
             await self.compact()
 
     async def compact(self) -> bool:
-        """Shorten the log if it is long; return whether that was done."""
+        """Truncate the log at the threshold; return whether that was done."""
         head = await read_head(self.store)
         if isinstance(head, StoreUnavailable):
             return False
@@ -112,11 +116,11 @@
         return truncated
 
     async def truncate_log(self, head: Head, name: str, covered: int) -> bool:
-        """Point the head at a snapshot and delete covered changes.
+        """Point the head at a snapshot and delete the changes that it covers.
 
         Args:
-          head: The head as read before.
-          name: The snapshot's name.
+          head: The head that was read.
+          name: The object name of the snapshot.
           covered: The version of the snapshot.
         """
         floor, target = head.floor, covered - self.retained_changes + 1
@@ -138,7 +142,7 @@
     async def delete_old_snapshots(
         self, previous: str | None, new: str
     ) -> None:
-        """Delete the snapshots older than the last but one."""
+        """Delete all snapshots older than the previous one."""
         names = await self.store.list_objects(SNAPSHOT_PREFIX)
         if isinstance(names, StoreUnavailable) or previous is None:
             return
@@ -148,10 +152,10 @@
 
 
 def truncation_transaction(head: Head, covered: range) -> Transaction:
-    """Return the transaction that moves the floor.
+    """Return the transaction that raises the floor and deletes changes.
 
     Args:
-      head: The new head, with the row version that must still be there.
+      head: The new head, with the row version expected in the store.
       covered: The versions of the changes to delete.
     """
     return Transaction(
@@ -162,11 +166,11 @@
 
 
 def snapshot_version(name: str) -> int:
-    """Return the version that a snapshot's name states; 0 if none."""
+    """Return the version in a snapshot's name, or 0 if there is none."""
     digits = name.removeprefix(SNAPSHOT_PREFIX)[:KEY_DIGITS]
     return int(digits) if digits.isdecimal() else 0
 
 
 def new_id() -> str:
-    """Return a short unique text."""
+    """Return a short random id."""
     return uuid.uuid4().hex[:8]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/follower.py
@@ -1,4 +1,4 @@
-"""Keeps a proxy's configuration at the newest version."""
+"""Replicates the configuration from the store to a proxy."""
 
 import asyncio
 import random
@@ -34,16 +34,17 @@
 
 
 class ConfigurationFollower:
-    """Reads the head of the change log and applies what changed.
+    """Polls the head of the change log and applies new changes.
 
     Attributes:
       state: The configuration in force.
       store_available: Whether the last read of the head succeeded.
-      head_version: The newest version that a read of the head showed.
-      peer_version: The newest version that a peer has told of.
-      floor: The oldest change in the log, as of that read.
-      changed: Wakes those who wait for a newer version.
-      head_read_slow: Whether the last read of the head took long.
+      head_version: The highest version seen in the head.
+      peer_version: The highest version that a peer has announced.
+      floor: The version of the oldest change in the log, as of that read.
+      changed: Set, then replaced, whenever a newer version is in force.
+      head_read_slow: Whether the last read of the head took longer than
+        `SLOW_READ_SECONDS`.
     """
 
     def __init__(
@@ -57,21 +58,22 @@
         interval_seconds: float = HEAD_READ_SECONDS,
         rng: random.Random | None = None,
     ) -> None:
-        """Make a follower; `start` begins to read.
+        """Initialize a follower; `start` activates it.
 
         Args:
           store: The store.
-          timer: Calls back, and tells the monotonic time.
+          timer: The timer and source of the monotonic time.
           on_change: Called once changes are in force, with the changes; none
             are passed if a snapshot replaced the whole configuration.
-          on_head_read: Called with the instant before the read was sent and
-            the version that it showed, once every change up to that version
+          on_head_read: Called with the time just before the read was sent and
+            the version that it returned, once every change up to that version
             is in force.
-          read_from_peers: Asks peers for what is above a version; used
-            while the store does not answer.
-          on_store_availability: Called when the store begins or ceases to answer.
+          read_from_peers: Requests newer changes from peers, given a version;
+            used while the store does not answer.
+          on_store_availability: Called when the store becomes available
+            or unavailable.
           interval_seconds: The time between two reads.
-          rng: The source of jitter.
+          rng: The random generator for the jitter.
         """
         self.store = store
         self.timer = timer
@@ -109,13 +111,16 @@
         await self.tick(self.timer.now())
 
     async def close(self) -> None:
-        """Read no more; nobody who waits is woken by a newer version."""
+        """Stop reading; waiters are not notified of newer versions."""
         self.closed = True
         if self.subscription is not None:
             self.subscription.close()
 
     async def tick(self, now: float) -> None:
-        """Read the head, and again an interval after this read began."""
+        """Read the head and schedule the next read one interval later.
+
+        The interval counts from the start of this read.
+        """
         started_at = self.timer.now()
         try:
             await self.read()
@@ -128,7 +133,7 @@
                 self.subscription = self.timer.call_later(delay, self.tick)
 
     async def handle_peer_version(self, version: int) -> None:
-        """Take in that a peer has a version; read at once if it is newer."""
+        """Record a peer's version; read the head at once if it is newer."""
         if version <= self.version:
             return
         recently_read = self.timer.now() - self.read_at < MIN_READ_DELAY_SECONDS
@@ -138,7 +143,7 @@
         await self.read()
 
     async def read(self) -> None:
-        """Read the head and apply what changed, or else ask peers."""
+        """Read the head and apply changes, or read from peers if that fails."""
         async with self.reading:
             sent_at = self.read_at = self.timer.now()
             head = await self.read_head()
@@ -152,7 +157,7 @@
                 self.on_head_read(sent_at, head.version)
 
     async def read_head(self) -> Head | StoreUnavailable:
-        """Read the head; from a slow store the changes at the same time."""
+        """Read the head; if the store is slow, read changes concurrently."""
         reading = asyncio.create_task(read_head(self.store))
         try:
             if not self.head_read_slow:
@@ -166,13 +171,13 @@
             reading.cancel()
 
     def set_store_available(self, answers: bool) -> None:
-        """Record whether the store answers."""
+        """Record whether the store is available."""
         if answers != self.store_available:
             self.store_available = answers
             self.on_store_availability(answers)
 
     async def catch_up(self, head: Head) -> bool:
-        """Apply every change up to a head; return whether that worked."""
+        """Apply every change up to a head; return whether that succeeded."""
         below_floor = head.floor > self.version + 1
         initial = self.version == 0 and head.snapshot is not None
         if (below_floor or initial) and not await self.load_snapshot(head):
@@ -186,9 +191,12 @@
         return True
 
     async def load_snapshot(self, head: Head) -> bool:
-        """Adopt the newest snapshot; return whether that worked."""
+        """Adopt the newest snapshot; return whether that succeeded."""
         if head.snapshot is None:
-            logging.error("change log starts at %d, no snapshot", head.floor)
+            logging.error(
+                "change log starts at version %d but has no snapshot",
+                head.floor,
+            )
             return False
         answer = await self.store.get_object(head.snapshot)
         if not isinstance(answer, StoredObject):
@@ -201,7 +209,7 @@
         return True
 
     async def update_from_peers(self) -> None:
-        """Learn from peers what the store can't tell."""
+        """Read changes from peers while the store is unavailable."""
         now = self.timer.now()
         if self.read_from_peers is None:
             return
@@ -211,7 +219,7 @@
         self.apply_peer_updates(await self.read_from_peers(self.version))
 
     def apply_peer_updates(self, updates: Iterable[PeerUpdate]) -> None:
-        """Apply what peers told, as far as it is newer."""
+        """Apply updates from peers that are newer."""
         items = list(updates)
         snapshots = [i for i in items if isinstance(i, Configuration)]
         for snapshot in snapshots:
@@ -220,7 +228,7 @@
         self.apply(sorted(changes, key=lambda change: change.version))
 
     def apply_peer_records(self, records: Iterable[bytes]) -> None:
-        """Apply a peer's records, as far as they are newer."""
+        """Apply records from a peer that are newer."""
         updates = (decode_peer_record(record) for record in records)
         self.apply_peer_updates(item for item in updates if item is not None)
 
@@ -230,7 +238,7 @@
             self.notify_change(())
 
     def apply(self, changes: Iterable[Change]) -> bool:
-        """Put changes in force; return whether none was missing."""
+        """Apply changes in order; return whether there was no gap."""
         applied: list[Change] = []
         complete = True
         for change in changes:
@@ -245,18 +253,18 @@
         return complete
 
     def notify_change(self, changes: tuple[Change, ...]) -> None:
-        """Tell everybody who waits that the configuration moved on."""
+        """Notify the callback and all waiters of a new version."""
         self.on_change(self.configuration, changes)
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def read_up_to(self, version: int) -> None:
-        """Return once a version is in force; read at once if it is not."""
+        """Wait until a version is in force; read at once if it is not."""
         if self.version < version:
             await self.read()
         await self.wait_above(version - 1)
 
     async def wait_above(self, version: int) -> None:
-        """Return once a version above the given one is in force."""
+        """Wait until a version above the given one is in force."""
         while self.version <= version:
             await self.changed.wait()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/peer_records.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/peer_records.py
@@ -1,4 +1,4 @@
-"""The form in which proxies pass changes to each other."""
+"""Encoding of configuration changes exchanged between proxies."""
 
 import base64
 import json
@@ -18,16 +18,16 @@
 def peer_records(
     state: ConfigurationState, after: int, limit: int
 ) -> tuple[int, tuple[bytes, ...]]:
-    """Return what a peer that is at a version lacks.
+    """Return the records that a peer at a given version lacks.
 
     Args:
       state: The configuration in force here.
       after: The peer's version.
-      limit: The most records to return.
+      limit: The maximum number of changes to return.
 
     Returns:
       The version of the first record, 0 for none, and the records: changes
-      in order or, where some were forgotten, the whole configuration.
+      in order or, if some are no longer held, the whole configuration.
     """
     if after >= state.version:
         return 0, ()
@@ -51,7 +51,7 @@
 
 
 def decode_peer_record(record: bytes) -> PeerUpdate | None:
-    """Return what a peer's record holds; None if it is malformed."""
+    """Return the update in a peer's record, or None if it is malformed."""
     try:
         document = json.loads(record)
         if "snapshot" in document:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/snapshot.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/snapshot.py
@@ -1,4 +1,4 @@
-"""Converts whole configurations from and to bytes."""
+"""Encoding of configuration snapshots."""
 
 import json
 import zlib
@@ -26,7 +26,7 @@
 
 
 def decode_snapshot(data: bytes) -> Configuration | None:
-    """Return the configuration in compressed JSON; None if malformed."""
+    """Return the configuration in compressed JSON, or None if malformed."""
     try:
         inflater = zlib.decompressobj()
         text = inflater.decompress(data, MAX_SNAPSHOT_BYTES)
@@ -54,7 +54,7 @@
 
 
 def configuration_from(document: dict[str, Any]) -> Configuration:
-    """Return the configuration of a JSON value.
+    """Return the configuration in a JSON value.
 
     Raises:
       ValueError: The format is unknown.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/membership/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/membership/__init__.py
@@ -1,4 +1,4 @@
-"""This VM's view of the membership."""
+"""Tracking of the cluster membership by this VM."""
 
 from jackdawcrank.membership.tracker import MembershipTracker
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/membership/intervals.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/membership/intervals.py
@@ -1,4 +1,4 @@
-"""How often the membership is read, so that the cost of a VM is bounded."""
+"""Intervals of membership reads, which bound the store load of each VM."""
 
 LEASE_RENEW_SECONDS = 5.0
 LEASE_SECONDS = 15.0
@@ -16,11 +16,11 @@
 def list_interval_seconds(vms: int) -> float:
     """Return the time between two reads of the VM list.
 
-    The list's size grows with the VMs, so it is read less often; the bytes
-    per second stay the same.
+    The interval grows with the number of VMs, as the size of the list does,
+    so that the bytes read per second stay constant.
 
     Args:
-      vms: How many VMs the list names.
+      vms: The number of VMs in the list.
     """
     return max(MIN_READ_SECONDS, LIST_SECONDS_PER_VM * vms)
 
@@ -29,6 +29,6 @@
     """Return the time between two reads of a page of lease rows.
 
     Args:
-      rows: How many rows the last page had.
+      rows: The number of rows in the last page.
     """
     return max(MIN_READ_SECONDS, PAGE_SECONDS_PER_ROW * rows)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/membership/lease_row.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/membership/lease_row.py
@@ -1,4 +1,4 @@
-"""The row that a VM renews in the table `vms`."""
+"""Encoding of a VM's lease row in the table `vms`."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -16,7 +16,7 @@
 
     Attributes:
       reading: The lease.
-      vm: The VM's address; None if the row gives none.
+      vm: The VM's address; None if the row has none.
     """
 
     reading: LeaseReading
@@ -37,7 +37,7 @@
 
 
 def decode_lease_row(name: str, value: Mapping[str, Any]) -> LeaseRow | None:
-    """Return the lease row in a JSON value; None if it is malformed."""
+    """Return the lease row in a JSON value, or None if it is malformed."""
     try:
         reading = LeaseReading(
             vm=name,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/membership/tracker.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/membership/tracker.py
@@ -1,4 +1,4 @@
-"""Keeps this VM's view of the membership."""
+"""Tracks the cluster membership."""
 
 import random
 import uuid
@@ -25,16 +25,17 @@
 
 
 class MembershipTracker:
-    """Renews this VM's lease row and gathers evidence on the others.
+    """Renews this VM's lease row and collects evidence on other VMs.
 
     Attributes:
       membership: The evidence.
       view: The newest view.
       boot: The id of this process.
-      counter: How often the lease row was renewed.
-      page_cursor: Where the next page of lease rows begins.
-      next_list_read_at: When the VM list is to be read again.
-      next_page_read_at: When the next page of lease rows is to be read.
+      counter: The number of renewals of the lease row.
+      page_cursor: The key after which the next page of lease rows starts.
+      next_list_read_at: The earliest time of the next read of the VM list.
+      next_page_read_at: The earliest time of the next read of a page of lease
+        rows.
     """
 
     def __init__(
@@ -46,15 +47,15 @@
         on_view_change: OnViewChange = lambda view: None,
         rng: random.Random | None = None,
     ) -> None:
-        """Make a tracker; `start` begins its work.
+        """Initialize a tracker; `start` activates it.
 
         Args:
           store: The store.
-          timer: Calls back, and tells the monotonic time.
+          timer: The timer and source of the monotonic time.
           own: This VM.
           boot: The id of this process.
           on_view_change: Called with each view that differs from the one before.
-          rng: The source of jitter.
+          rng: The random generator for the jitter and for sampling suspects.
         """
         self.store = store
         self.timer = timer
@@ -71,7 +72,7 @@
         self.subscriptions: list[Subscription] = []
 
     async def start(self) -> None:
-        """Write the lease row, read the others' and begin to track."""
+        """Write the lease row, read other VMs' rows and start tracking."""
         await self.renew(self.timer.now())
         await self.read_list(self.timer.now())
         await self.read_page(self.timer.now())
@@ -94,7 +95,7 @@
     def subscribe(
         self, name: str, interval_seconds: float, callback: TickCallback
     ) -> None:
-        """Have a step of the work done at intervals with jitter."""
+        """Subscribe a callback to the timer with jitter."""
         subscription = self.timer.subscribe(
             name,
             interval_seconds,
@@ -105,26 +106,26 @@
         self.subscriptions.append(subscription)
 
     def heard(self, name: str, vm: Vm | None = None, boot: str = "") -> None:
-        """Take in that a stream carried something from a VM.
+        """Record that a stream received a message from a VM.
 
         Args:
           name: The VM.
-          vm: Its address, if the stream told it.
-          boot: The id of its process, if the stream told it.
+          vm: Its address, if known from the stream.
+          boot: The id of its process, if known from the stream.
         """
         self.membership.heard(name, vm, self.timer.now(), boot)
 
     def stream_failed(self, name: str) -> None:
-        """Take in that a stream to a VM broke or could not be opened."""
+        """Record that a stream to a VM broke or could not be opened."""
         self.membership.stream_failed(name, self.timer.now())
 
     def announced_leaving(self, name: str) -> None:
-        """Take in that a VM says it is leaving."""
+        """Record that a VM announced that it is leaving."""
         self.membership.announced_leaving(name)
         self.publish(self.timer.now())
 
     async def leave(self) -> None:
-        """Say that this VM is leaving."""
+        """Announce that this VM is leaving."""
         self.membership.leaving = True
         self.publish(self.timer.now())
         await self.renew(self.timer.now())
@@ -144,7 +145,7 @@
         await self.store.transact(Transaction(puts=(put,)))
 
     async def read_list(self, now: float) -> None:
-        """Read the platform's VM list, less often the longer it is."""
+        """Read the platform's VM list if it is due."""
         if now < self.next_list_read_at:
             return
         vms = await self.store.list_vms()
@@ -155,7 +156,7 @@
         self.next_list_read_at = now + self.with_jitter(interval)
 
     async def read_page(self, now: float) -> None:
-        """Read the next page of lease rows, round and round."""
+        """Read the next page of lease rows if due; restart after the last."""
         if now < self.next_page_read_at:
             return
         page = await self.store.scan(
@@ -171,7 +172,7 @@
         self.membership.forget(now)
 
     async def read_suspects(self, now: float) -> None:
-        """Read the lease rows of some VMs that are in doubt."""
+        """Read the lease rows of a random sample of suspected VMs."""
         suspects = self.membership.suspects(now)
         count = min(len(suspects), intervals.SUSPECTS_PER_READ)
         for name in self.rng.sample(suspects, count):
@@ -183,22 +184,22 @@
                 self.membership.lease_missing(name)
 
     def with_jitter(self, interval_seconds: float) -> float:
-        """Return an interval made a little longer or shorter."""
+        """Return an interval with jitter applied."""
         jitter = intervals.JITTER_FRACTION
         return interval_seconds * (1 + self.rng.uniform(-jitter, jitter))
 
     def record_lease(self, row: Row, now: float) -> None:
-        """Take in another VM's lease row."""
+        """Record another VM's lease row as evidence."""
         lease = decode_lease_row(row.key, row.value)
         if lease is not None and row.key != self.own.name:
             self.membership.lease_read(lease.reading, lease.vm, now)
 
     async def evaluate(self, now: float) -> None:
-        """Work out the view again."""
+        """Recompute the view."""
         self.publish(now)
 
     def publish(self, now: float) -> None:
-        """Tell the listener if the view has changed."""
+        """Recompute the view and call `on_view_change` if it differs."""
         view = self.membership.view(now)
         if view != self.view:
             self.view = view
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timer/manual_timer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timer/manual_timer.py
@@ -32,8 +32,8 @@
           name: The subscriber's name in logs.
           interval_seconds: The time between two calls; must be above 0.
           callback: The coroutine function to call with the current time.
-          jitter_fraction: The largest change of each interval, as a fraction from
-            0 to 1.
+          jitter_fraction: The largest change of each interval, as a fraction
+            from 0 to 1.
           rng: The random generator for the jitter; by default one seeded with
             the name.
 
--- a/packages/jackdawcrank-proxy/tests/config/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/config/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the configuration's tests."""
+"""Fixtures for the configuration tests."""
 
 import random
 from collections.abc import Callable, Iterator
--- a/packages/jackdawcrank-proxy/tests/config/test_compactor.py
+++ b/packages/jackdawcrank-proxy/tests/config/test_compactor.py
@@ -1,4 +1,4 @@
-"""Tests of snapshots and of shortening the change log."""
+"""Tests of snapshots and of the compaction of the change log."""
 
 from collections.abc import Callable
 from typing import Any
--- a/packages/jackdawcrank-proxy/tests/config/test_follower.py
+++ b/packages/jackdawcrank-proxy/tests/config/test_follower.py
@@ -1,4 +1,4 @@
-"""Tests that a proxy follows the configuration and never reverts."""
+"""Tests that a follower applies newer versions and never reverts."""
 
 import asyncio
 import random
@@ -197,7 +197,7 @@
 
 
 class Scenario:
-    """One run of events against a model of what was committed."""
+    """Runs events and compares the follower with the committed states."""
 
     def __init__(self, platform: Platform, seed: int) -> None:
         self.platform = platform
@@ -300,7 +300,7 @@
 
 
 def test_delayed_old_changes_do_not_revert_state() -> None:
-    """Changes that were read before a pause arrive after newer ones."""
+    """Changes read before a pause of the process arrive after newer ones."""
     state = ConfigurationState()
     changes = [
         Change(v, Kind.DATABASE_GROUP, "a", document={"spec": v})
--- a/packages/jackdawcrank-proxy/tests/membership/test_tracker.py
+++ b/packages/jackdawcrank-proxy/tests/membership/test_tracker.py
@@ -1,4 +1,4 @@
-"""Tests of what a VM reads and writes to know the others."""
+"""Tests of the membership tracker's reads and writes."""
 
 import random
 from collections.abc import Callable
