--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/follower.py
@@ -54,7 +54,7 @@
         on_change: OnChange = lambda configuration, changes: None,
         on_head_read: OnHeadRead = lambda sent_at, version: None,
         read_from_peers: ReadFromPeers | None = None,
-        on_store_availability: OnStoreAvailability = lambda answers: None,
+        on_store_availability: OnStoreAvailability = lambda available: None,
         interval_seconds: float = HEAD_READ_SECONDS,
         rng: random.Random | None = None,
     ) -> None:
@@ -170,11 +170,11 @@
         finally:
             reading.cancel()
 
-    def set_store_available(self, answers: bool) -> None:
+    def set_store_available(self, available: bool) -> None:
         """Record whether the store is available."""
-        if answers != self.store_available:
-            self.store_available = answers
-            self.on_store_availability(answers)
+        if available != self.store_available:
+            self.store_available = available
+            self.on_store_availability(available)
 
     async def catch_up(self, head: Head) -> bool:
         """Apply every change up to a head; return whether that succeeded."""
