--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_log.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_log.py
@@ -192,7 +192,7 @@
             attempt += 1
 
     async def judge_absent(self, change: Change) -> StoreUnavailable | None:
-        """Tell a change that was never made from one that was collected."""
+        """Tell a change that was never made from one deleted by compaction."""
         head = await read_head(self.store)
         if isinstance(head, Head) and head.version < change.version:
             return None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_reader.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_reader.py
@@ -11,7 +11,7 @@
 async def read_change(
     store: StoreClient, version: int
 ) -> Change | Absent | StoreUnavailable:
-    """Read one change; absent if it is not made yet or was collected."""
+    """Read one change; absent if not made yet or deleted by compaction."""
     answer = await store.get("changes", change_key(version))
     if isinstance(answer, Row):
         return change_from(answer)
