--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/collector.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/compactor.py
@@ -1,4 +1,4 @@
-"""Shortens the change log."""
+"""Compaction of the change log."""
 
 import random
 import uuid
@@ -22,23 +22,25 @@
 from jackdawcrank.timer import Subscription, Timer
 from jackdawcrank_policy.configuration import ConfigurationState
 
-COLLECT_SECONDS = 60.0
+COMPACTION_INTERVAL_SECONDS = 60.0
 JITTER_FRACTION = 0.9
-COLLECT_AT_CHANGES = 2000
-KEEP_CHANGES = 1000
+COMPACTION_THRESHOLD_CHANGES = 2000
+RETAINED_CHANGES = 1000
 DELETES_PER_TRANSACTION = 200
 SNAPSHOT_PREFIX = "snapshots/"
 
 
-class ChangeLogCollector:
+class ChangeLogCompactor:
     """Writes snapshots and deletes the changes that they cover.
 
-    Every proxy runs one. The check of the head lets one of them win; the
-    jitter makes it likely that the others find nothing left to do.
+    Every proxy runs a compactor. A transaction commits only if the head is
+    unchanged, so one of several concurrent compactions succeeds. Jitter makes
+    it likely that the other proxies then find nothing left to do.
 
     Attributes:
-      collect_at: How many changes the log may hold before it is shortened.
-      keep: How many of the newest changes stay.
+      compaction_threshold: The number of changes in the log at which it is
+        truncated.
+      retained_changes: The number of newest changes to retain.
     """
 
     def __init__(
@@ -47,52 +49,58 @@
         state: ConfigurationState,
         timer: Timer,
         rng: random.Random | None = None,
-        collect_at: int = COLLECT_AT_CHANGES,
-        keep: int = KEEP_CHANGES,
-        on_collected: Callable[[Head], None] = lambda head: None,
+        compaction_threshold: int = COMPACTION_THRESHOLD_CHANGES,
+        retained_changes: int = RETAINED_CHANGES,
+        on_compacted: Callable[[Head], None] = lambda head: None,
     ) -> None:
-        """Make a collector; `start` begins its work.
+        """Initialize a compactor; `start` activates it.
 
         Args:
           store: The store.
           state: The configuration in force here.
-          timer: Calls back.
-          rng: The source of jitter.
-          collect_at: How many changes the log may hold.
-          keep: How many of the newest changes stay; no more than that.
-          on_collected: Called with the new head.
+          timer: The timer for the periodic check.
+          rng: The random generator for the jitter.
+          compaction_threshold: The number of changes in the log at which it is
+            truncated.
+          retained_changes: The number of newest changes to retain; limited to
+            `compaction_threshold`.
+          on_compacted: Called with the new head after each transaction.
         """
         self.store = store
         self.state = state
         self.timer = timer
         self.rng = rng or random.Random()
-        self.collect_at = collect_at
-        self.keep = min(keep, collect_at)
-        self.on_collected = on_collected
+        self.compaction_threshold = compaction_threshold
+        self.retained_changes = min(retained_changes, compaction_threshold)
+        self.on_compacted = on_compacted
         self.subscription: Subscription | None = None
 
     async def start(self) -> None:
-        """Begin to look at regular intervals."""
+        """Start checking the log at regular intervals."""
         self.subscription = self.timer.subscribe(
-            "collector", COLLECT_SECONDS, self.tick, JITTER_FRACTION, self.rng
+            "collector",
+            COMPACTION_INTERVAL_SECONDS,
+            self.tick,
+            JITTER_FRACTION,
+            self.rng,
         )
 
     async def close(self) -> None:
-        """Look no more."""
+        """Stop checking the log."""
         if self.subscription is not None:
             self.subscription.close()
 
     async def tick(self, now: float) -> None:
-        """Shorten the log if it is long; skip the read if it can't be."""
-        if self.state.version >= self.collect_at:
-            await self.collect()
+        """Truncate the log if needed; skip the read of a log that is short."""
+        if self.state.version >= self.compaction_threshold:
+            await self.compact()
 
-    async def collect(self) -> bool:
-        """Shorten the log if it is long; return whether that was done."""
+    async def compact(self) -> bool:
+        """Truncate the log at the threshold; return whether that was done."""
         head = await read_head(self.store)
         if isinstance(head, StoreUnavailable):
             return False
-        if head.version - head.floor + 1 < self.collect_at:
+        if head.version - head.floor + 1 < self.compaction_threshold:
             return False
         snapshot = self.state.current
         if not head.floor <= snapshot.version <= head.version:
@@ -102,39 +110,39 @@
         written = await self.store.put_object(name, data, only_new=True)
         if not isinstance(written, ObjectWritten):
             return False
-        shortened = await self.shorten(head, name, snapshot.version)
-        if shortened:
+        truncated = await self.truncate_log(head, name, snapshot.version)
+        if truncated:
             await self.delete_old_snapshots(head.snapshot, name)
-        return shortened
+        return truncated
 
-    async def shorten(self, head: Head, name: str, covered: int) -> bool:
-        """Point the head at a snapshot and delete covered changes.
+    async def truncate_log(self, head: Head, name: str, covered: int) -> bool:
+        """Point the head at a snapshot and delete the changes that it covers.
 
         Args:
-          head: The head as read before.
-          name: The snapshot's name.
+          head: The head that was read.
+          name: The object name of the snapshot.
           covered: The version of the snapshot.
         """
-        floor, target = head.floor, covered - self.keep + 1
-        shortened = False
+        floor, target = head.floor, covered - self.retained_changes + 1
+        truncated = False
         while floor < target:
             floor = min(target, floor + DELETES_PER_TRANSACTION)
-            moved = Head(head.version, name, floor, head.row_version)
+            new_head = Head(head.version, name, floor, head.row_version)
             outcome = await self.store.transact(
-                collection(moved, range(head.floor, floor))
+                truncation_transaction(new_head, range(head.floor, floor))
             )
             if not isinstance(outcome, Committed):
-                return shortened
-            shortened = True
+                return truncated
+            truncated = True
             row_version = outcome.versions[f"{HEAD}/{HEAD}"]
             head = Head(head.version, name, floor, row_version)
-            self.on_collected(head)
-        return shortened
+            self.on_compacted(head)
+        return truncated
 
     async def delete_old_snapshots(
         self, previous: str | None, new: str
     ) -> None:
-        """Delete the snapshots older than the last but one."""
+        """Delete all snapshots older than the previous one."""
         names = await self.store.list_objects(SNAPSHOT_PREFIX)
         if isinstance(names, StoreUnavailable) or previous is None:
             return
@@ -143,11 +151,11 @@
                 await self.store.delete_object(name)
 
 
-def collection(head: Head, covered: range) -> Transaction:
-    """Return the transaction that moves the floor.
+def truncation_transaction(head: Head, covered: range) -> Transaction:
+    """Return the transaction that raises the floor and deletes changes.
 
     Args:
-      head: The new head, with the row version that must still be there.
+      head: The new head, with the row version expected in the store.
       covered: The versions of the changes to delete.
     """
     return Transaction(
@@ -158,11 +166,11 @@
 
 
 def snapshot_version(name: str) -> int:
-    """Return the version that a snapshot's name states; 0 if none."""
+    """Return the version in a snapshot's name, or 0 if there is none."""
     digits = name.removeprefix(SNAPSHOT_PREFIX)[:KEY_DIGITS]
     return int(digits) if digits.isdecimal() else 0
 
 
 def new_id() -> str:
-    """Return a short unique text."""
+    """Return a short random id."""
     return uuid.uuid4().hex[:8]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/logs/formatters.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/logs/formatters.py
@@ -1,4 +1,4 @@
-"""The forms of a log line."""
+"""Formatters of log lines."""
 
 import datetime
 import json
@@ -8,8 +8,8 @@
 FIELDS_ATTRIBUTE = "fields"
 
 
-def line_fields(record: logging.LogRecord) -> dict[str, typing.Any]:
-    """Return what a log line says, in the order that it says it.
+def record_fields(record: logging.LogRecord) -> dict[str, typing.Any]:
+    """Return the fields of a log record in output order.
 
     Args:
       record: The log record.
@@ -37,7 +37,7 @@
         Args:
           record: The log record.
         """
-        pairs = line_fields(record).items()
+        pairs = record_fields(record).items()
         return " ".join(f"{key}={quote(value)}" for key, value in pairs)
 
 
@@ -50,11 +50,11 @@
         Args:
           record: The log record.
         """
-        return json.dumps(line_fields(record), default=str)
+        return json.dumps(record_fields(record), default=str)
 
 
 def quote(value: object) -> str:
-    """Return a value as text, in JSON's quotes where it is not one word.
+    """Return a value as text, quoted as JSON unless it is a single word.
 
     Args:
       value: The value.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/burst_counter.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timeline/event_aggregator.py
@@ -1,4 +1,4 @@
-"""Aggregation of refusals into few events."""
+"""Aggregation of frequent events."""
 
 import collections
 
@@ -6,10 +6,11 @@
 from jackdawcrank_wire.events import EventKind
 
 
-class BurstCounter:
-    """Counts what would flood the time line and records one event for many.
+class EventAggregator:
+    """Counts frequent events and records totals by group and reason.
 
-    `flush` is to be called at regular intervals.
+    Recorded one by one, they would flood the timeline. `flush` must be called
+    at regular intervals.
     """
 
     def __init__(
@@ -25,7 +26,7 @@
 
         Args:
           group: The database group.
-          reason: Why it was refused.
+          reason: The reason for the refusal.
         """
         self.counts[group, reason] += 1
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/timer/manual_timer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/timer/manual_timer.py
@@ -1,21 +1,21 @@
-"""A timer whose time a test moves."""
+"""Timer with a clock that tests advance."""
 
 import random
 
-from jackdawcrank.timer.agenda import Agenda
 from jackdawcrank.timer.run_callback import run_callback
 from jackdawcrank.timer.subscription import Subscription, TickCallback
+from jackdawcrank.timer.timer_queue import TimerQueue
 
 
 class ManualTimer:
-    """Calls back when `advance` is called; nothing happens by itself."""
+    """Timer that makes calls only while `advance` runs."""
 
     def __init__(self, now: float = 0.0) -> None:
         self.time = now
-        self.agenda = Agenda()
+        self.timer_queue = TimerQueue()
 
     def now(self) -> float:
-        """Return the time in seconds that the test has reached."""
+        """Return the simulated time in seconds."""
         return self.time
 
     def subscribe(
@@ -26,19 +26,21 @@
         jitter_fraction: float = 0.0,
         rng: random.Random | None = None,
     ) -> Subscription:
-        """Call back at regular intervals, for the first time after one.
+        """Call back at regular intervals, first after one interval.
 
         Args:
-          name: Names the subscriber in logs.
-          interval_seconds: The time between two calls, above 0.
-          callback: Called with the timer's time.
-          jitter_fraction: How much each wait may vary, from 0 to 1.
-          rng: Where the jitter comes from; seeded by the name if left out.
+          name: The subscriber's name in logs.
+          interval_seconds: The time between two calls; must be above 0.
+          callback: The coroutine function to call with the current time.
+          jitter_fraction: The largest change of each interval, as a fraction
+            from 0 to 1.
+          rng: The random generator for the jitter; by default one seeded with
+            the name.
 
         Raises:
           ValueError: The interval is not above 0.
         """
-        return self.agenda.add_repeated(
+        return self.timer_queue.add_periodic(
             name,
             interval_seconds,
             callback,
@@ -53,27 +55,29 @@
         """Call back once.
 
         Args:
-          delay_seconds: The time until the call.
-          callback: Called with the timer's time.
+          delay_seconds: The time until the call, in seconds.
+          callback: The coroutine function to call with the current time.
         """
-        return self.agenda.add_single(delay_seconds, callback, self.now())
+        return self.timer_queue.add_one_shot(
+            delay_seconds, callback, self.now()
+        )
 
     async def start(self) -> None:
-        """Do nothing; `advance` calls back."""
+        """Do nothing; `advance` makes the calls."""
 
     async def close(self) -> None:
-        """Forget every subscription."""
-        self.agenda = Agenda()
+        """Remove every subscription."""
+        self.timer_queue = TimerQueue()
 
     async def advance(self, seconds: float) -> None:
-        """Move the time on and make the calls that fall due, one by one.
+        """Advance the time and make the calls that are due, one at a time.
 
         Args:
-          seconds: How far to move the time.
+          seconds: The time to advance by, in seconds.
         """
         end = self.time + seconds
-        while subscription := self.agenda.pop_due(end):
+        while subscription := self.timer_queue.pop_due(end):
             self.time = max(self.time, subscription.next_at)
             await run_callback(subscription, self.time)
-            self.agenda.finish(subscription, self.time)
+            self.timer_queue.reschedule(subscription, self.time)
         self.time = end
