--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/caller_session.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/caller_session.py
@@ -39,7 +39,7 @@
       database: The database that it named on connecting.
       directory: Finds its database.
       runner: Runs its statements.
-      memory: Its session values and prepared names.
+      context: Its session values and prepared names.
       state: Where it stands.
       last_position: The newest commit that it was told of.
       transaction: The open transaction once a server runs it.
@@ -53,7 +53,7 @@
     database: str
     directory: Resolver
     runner: Runner
-    memory: SessionContext = attrs.Factory(SessionContext)
+    context: SessionContext = attrs.Factory(SessionContext)
     state: SessionState = SessionState.IDLE
     last_position: Position | None = None
     transaction: Transaction | None = None
@@ -73,13 +73,13 @@
         self.busy = True
         try:
             if self.state is SessionState.FAILED:
-                return self.after_failure(statement)
+                return self.reply_after_failure(statement)
             return await handle(statement, self, request_id)
         finally:
             self.busy = False
             self.active_at = asyncio.get_running_loop().time()
 
-    def after_failure(self, statement: Statement) -> Reply:
+    def reply_after_failure(self, statement: Statement) -> Reply:
         """Answer while only ending the transaction is possible."""
         if isinstance(statement, Rollback):
             self.end_transaction()
@@ -123,14 +123,14 @@
     def fail_transaction(self) -> None:
         """Roll back on the server and wait for the caller to end it."""
         if self.transaction is not None:
-            self.transaction.undo()
+            self.transaction.roll_back()
         self.transaction = None
         self.state = SessionState.FAILED
 
-    def abandon(self) -> None:
+    def discard_transaction(self) -> None:
         """Roll back what the caller has left behind."""
         if self.transaction is not None:
-            self.transaction.undo()
+            self.transaction.roll_back()
             self.transaction = None
 
     async def run_data(self, execution: Execution) -> Reply:
@@ -175,7 +175,7 @@
             Problem.UNKNOWN_DATABASE, f"no database {self.database!r}"
         )
 
-    def saw(self, position: Position | None) -> None:
+    def record_position(self, position: Position | None) -> None:
         """Take in the position of a commit of this session.
 
         Args:
@@ -219,7 +219,7 @@
 async def _(
     statement: Rollback, session: CallerSession, request_id: str
 ) -> Reply:
-    session.abandon()
+    session.discard_transaction()
     session.end_transaction()
     return session.done()
 
@@ -254,7 +254,7 @@
 async def _(
     statement: ExecutePrepared, session: CallerSession, request_id: str
 ) -> Reply:
-    prepared = session.memory.statements.get(statement.name)
+    prepared = session.context.statements.get(statement.name)
     if prepared is None:
         if session.state is SessionState.IN_TRANSACTION:
             session.fail_transaction()
@@ -270,7 +270,7 @@
 async def _(
     statement: DefineName, session: CallerSession, request_id: str
 ) -> Reply:
-    statements = session.memory.statements
+    statements = session.context.statements
     if len(statements) >= MAX_STATEMENTS and statement.name not in statements:
         return session.refuse(Problem.BUSY, "too many prepared statements")
     statements[statement.name] = PreparedStatement(
@@ -283,7 +283,7 @@
 async def _(
     statement: DropName, session: CallerSession, request_id: str
 ) -> Reply:
-    if session.memory.statements.pop(statement.name, None) is None:
+    if session.context.statements.pop(statement.name, None) is None:
         return session.refuse(
             Problem.UNKNOWN_NAME, f"no statement {statement.name!r}"
         )
@@ -294,7 +294,7 @@
 async def _(
     statement: AssignValue, session: CallerSession, request_id: str
 ) -> Reply:
-    values = session.memory.values
+    values = session.context.values
     if len(values) >= MAX_VALUES and statement.name not in values:
         return session.refuse(Problem.BUSY, "too many session values")
     values[statement.name] = statement.value
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_messages.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_messages.py
@@ -102,7 +102,7 @@
             spec.latency_objective_seconds,
             spec.priority,
         ],
-        session.memory.values,
+        session.context.values,
         encode_position(session.last_position),
         session.read_only,
     ]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
@@ -31,7 +31,7 @@
 
 # A home that could not be reached is passed over for this long: the time in
 # which a killed process starts again.
-PASS_OVER_SECONDS = 1.0
+UNREACHABLE_BACKOFF_SECONDS = 1.0
 
 
 @attrs.define
@@ -41,16 +41,16 @@
     Attributes:
       stream: The stream, while there is one.
       opening: Connects, while that is under way.
-      not_before: Until when the home is passed over.
+      retry_at: Until when the home is passed over.
     """
 
     stream: HomeStream | None = None
     opening: asyncio.Task[HomeStream | None] | None = None
-    not_before: float = 0.0
+    retry_at: float = 0.0
 
 
 @attrs.frozen
-class Forwarded:
+class ForwardedRequest:
     """A request that a home has answered.
 
     Attributes:
@@ -122,7 +122,7 @@
             return await self.local.run_single(session, execution)
         if isinstance(forwarded, Reply):
             return forwarded
-        session.saw(forwarded.answer.seen)
+        session.record_position(forwarded.answer.seen)
         return forwarded.answer.reply
 
     async def begin(
@@ -148,7 +148,7 @@
 
     async def forward(
         self, kind: Kind, session: SessionView, execution: Execution | None
-    ) -> Forwarded | Reply | None:
+    ) -> ForwardedRequest | Reply | None:
         """Have a home run a request.
 
         Args:
@@ -166,19 +166,19 @@
             stream = await self.stream_for(session, deadline)
             if stream is None:
                 return None
-            number, answer = await self.ask(
+            number, answer = await self.call_home(
                 stream, kind, session, execution, deadline
             )
             if isinstance(answer, HomeAnswer):
-                return Forwarded(stream, number, answer)
+                return ForwardedRequest(stream, number, answer)
             writes = execution is not None and execution.writes
             if answer.sent and kind is Kind.RUN and writes:
-                return self.in_doubt(session, execution)
+                return self.in_doubt_reply(session, execution)
             if self.loop.time() >= deadline:
-                return self.too_late(session, execution)
+                return self.timeout_reply(session, execution)
         return None
 
-    async def ask(
+    async def call_home(
         self,
         stream: HomeStream,
         kind: Kind,
@@ -198,7 +198,7 @@
         timeout = deadline + HOME_MARGIN_SECONDS - self.loop.time()
         return number, await stream.call(number, body, timeout)
 
-    def in_doubt(
+    def in_doubt_reply(
         self, session: SessionView, execution: Execution | None
     ) -> Reply:
         """Return that a home took a write with it."""
@@ -210,7 +210,7 @@
         )
         return Reply(problem=Problem.IN_DOUBT, detail="the home did not answer")
 
-    def too_late(
+    def timeout_reply(
         self, session: SessionView, execution: Execution | None
     ) -> Reply:
         """Return that no home answered in time; nothing is kept."""
@@ -230,20 +230,20 @@
         for member in self.homes.choices(group.group):
             if member.vm == self.homes.rows.own.vm:
                 return None
-            stream = await self.reach(member)
+            stream = await self.connected_stream(member)
             if stream is not None and not stream.leaving:
                 return stream
             if self.loop.time() >= deadline:
                 break
         return None
 
-    async def reach(self, member: Member) -> HomeStream | None:
+    async def connected_stream(self, member: Member) -> HomeStream | None:
         """Return a stream to a home, connecting if there is none."""
         route = self.routes.setdefault(member.vm, Route())
         stream = self.stream_to(member.vm)
         if stream is not None:
             return stream
-        if self.loop.time() < route.not_before:
+        if self.loop.time() < route.retry_at:
             return None
         if route.opening is None:
             route.opening = self.loop.create_task(self.open(member, route))
@@ -258,6 +258,6 @@
         finally:
             route.opening = None
         if route.stream is None:
-            route.not_before = self.loop.time() + PASS_OVER_SECONDS
+            route.retry_at = self.loop.time() + UNREACHABLE_BACKOFF_SECONDS
             self.log.event("home_unreachable", home=member.vm)
         return route.stream
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
@@ -30,7 +30,7 @@
 from jackdawcrank_policy.values.position import Position
 
 # A home that was just chosen reads the servers first: one call.
-SERVERS_WAIT_SECONDS = 1.0
+SERVERS_TIMEOUT_SECONDS = 1.0
 
 
 @attrs.define(eq=False)
@@ -40,7 +40,7 @@
     Attributes:
       database: The database that its caller named.
       spec: The declaration in force there.
-      memory: Its session values.
+      context: Its session values.
       last_position: The newest commit that it was told of.
       read_only: Whether its transaction may not write.
       group: The group that serves it.
@@ -48,12 +48,12 @@
 
     database: str
     spec: DatabaseSpec | None
-    memory: SessionContext
+    context: SessionContext
     last_position: Position | None
     read_only: bool
     group: GroupRelay | None = None
 
-    def saw(self, position: Position | None) -> None:
+    def record_position(self, position: Position | None) -> None:
         """Take in the position of a commit of this session.
 
         Args:
@@ -106,7 +106,7 @@
         self.home.connections.discard(self)
         self.home.teller.forget(self)
         for _, transaction in self.transactions.values():
-            transaction.undo()
+            transaction.roll_back()
         self.transactions.clear()
 
     def frame_received(self, body: bytes) -> None:
@@ -122,7 +122,7 @@
         elif kind is Kind.UNDO:
             _, transaction = self.transactions.pop(fields[0], (None, None))
             if transaction is not None:
-                transaction.undo()
+                transaction.roll_back()
         else:
             self.begin(self.serve(number, kind, fields))
 
@@ -163,7 +163,7 @@
         session = decode_session(fields[0])
         execution = decode_execution(fields[1])
         if execution is None or not await self.home.resolve(session):
-            self.answer(number, session, not_served())
+            self.answer(number, session, unknown_group_reply())
             return
         reply = await self.home.runner.run_single(session, execution)
         self.answer(number, session, reply)
@@ -172,7 +172,7 @@
         """Open a transaction; its number is that of the request."""
         session = decode_session(fields[0])
         if not await self.home.resolve(session):
-            self.answer(number, session, not_served())
+            self.answer(number, session, unknown_group_reply())
             return
         opened = await self.home.runner.begin(
             session, decode_execution(fields[1])
@@ -180,7 +180,7 @@
         if isinstance(opened, Reply):
             self.answer(number, session, opened)
         elif self.closed:
-            opened.undo()
+            opened.roll_back()
         else:
             self.transactions[number] = (session, opened)
             self.answer(number, session, Reply())
@@ -190,10 +190,10 @@
         found = self.transactions.get(fields[0])
         execution = decode_execution(fields[1])
         if found is None or execution is None:
-            self.answer(number, None, transaction_gone())
+            self.answer(number, None, transaction_ended_reply())
             return
         session, transaction = found
-        session.memory.values = fields[2]
+        session.context.values = fields[2]
         reply = await transaction.run(session, execution)
         self.answer(number, session, reply)
 
@@ -201,19 +201,19 @@
         """Commit an open transaction."""
         found = self.transactions.pop(fields[0], None)
         if found is None:
-            self.answer(number, None, transaction_gone())
+            self.answer(number, None, transaction_ended_reply())
             return
         session, transaction = found
         reply = await transaction.commit(session, fields[1])
         self.answer(number, session, reply)
 
 
-def not_served() -> Reply:
+def unknown_group_reply() -> Reply:
     """Return that this home does not know the group's servers."""
     return Reply(problem=Problem.BUSY, detail="the group is not known here")
 
 
-def transaction_gone() -> Reply:
+def transaction_ended_reply() -> Reply:
     """Return that a transaction is not open here."""
     detail = "the transaction is not open any more"
     return Reply(problem=Problem.ROLLED_BACK, detail=detail)
@@ -247,7 +247,7 @@
         self.notice_dead_peer = notice_dead_peer
         self.teller = teller
         self.connections: set[HomeConnection] = set()
-        self.wanted = asyncio.Event()
+        self.forwarding_seen = asyncio.Event()
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -277,10 +277,10 @@
 
     async def resolve(self, session: ForwardedSession) -> bool:
         """Find a session's group; return whether it can be served."""
-        self.wanted.set()
+        self.forwarding_seen.set()
         if not self.directory.servers_known:
             try:
-                async with asyncio.timeout(SERVERS_WAIT_SECONDS):
+                async with asyncio.timeout(SERVERS_TIMEOUT_SECONDS):
                     await self.directory.servers_seen.wait()
             except TimeoutError:
                 return False
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
@@ -23,7 +23,7 @@
 
 # A round trip in a region takes 3 ms; a home that does not answer the opening
 # packet in this time is passed over.
-CONNECT_SECONDS = 0.4
+HOME_CONNECT_TIMEOUT_SECONDS = 0.4
 # Beyond a statement's own time, for the way to the home and back.
 HOME_MARGIN_SECONDS = 0.2
 
@@ -58,9 +58,9 @@
     Attributes:
       followers: What takes in the tables that it tells.
       leaving: Whether the home asked for no new work.
-      asked: The tables that it was asked to tell.
-      asked_at: When it was last asked for one more.
-      vouched_at: When it last vouched for each table.
+      subscribed: The tables that it was asked to tell.
+      subscribed_at: When it was last asked for one more.
+      confirmed_at: When it last vouched for each table.
     """
 
     def __init__(
@@ -72,11 +72,11 @@
         self.followers = followers
         self.notice_dead_peer = notice_dead_peer
         self.leaving = False
-        self.asked: set[str] = set()
-        self.asked_at = 0.0
-        self.vouched_at: dict[str, float] = {}
-        self.numbers = 0
-        self.waiting: dict[int, asyncio.Future[HomeAnswer]] = {}
+        self.subscribed: set[str] = set()
+        self.subscribed_at = 0.0
+        self.confirmed_at: dict[str, float] = {}
+        self.last_number = 0
+        self.pending: dict[int, asyncio.Future[HomeAnswer]] = {}
         self.loop = asyncio.get_running_loop()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -84,19 +84,19 @@
         super().connection_made(transport)
         self.notice_dead_peer(transport)
 
-    def follow(self, tables: Iterable[str]) -> None:
+    def subscribe(self, tables: Iterable[str]) -> None:
         """Ask to be told tables, unless that was asked before.
 
         Args:
           tables: The tables.
         """
-        wanted = set(tables) - self.asked
-        if wanted:
-            self.asked |= wanted
-            self.asked_at = self.loop.time()
-            self.send(pack(0, Kind.FOLLOW, *sorted(wanted)))
+        new_tables = set(tables) - self.subscribed
+        if new_tables:
+            self.subscribed |= new_tables
+            self.subscribed_at = self.loop.time()
+            self.send(pack(0, Kind.FOLLOW, *sorted(new_tables)))
 
-    def vouches(self, table: str, seconds: float) -> bool:
+    def has_confirmed(self, table: str, seconds: float) -> bool:
         """Return whether it has vouched for a table lately.
 
         Args:
@@ -104,36 +104,36 @@
           seconds: How long ago it may have been.
         """
         oldest = self.loop.time() - seconds
-        return not self.closed and self.vouched_at.get(table, oldest) > oldest
+        return not self.closed and self.confirmed_at.get(table, oldest) > oldest
 
     def connection_lost(self, error: Exception | None) -> None:
         """Fail what is waited for."""
         self.closed = True
-        for future in self.waiting.values():
+        for future in self.pending.values():
             if not future.done():
                 future.cancel()
-        self.waiting.clear()
+        self.pending.clear()
 
     def frame_received(self, body: bytes) -> None:
         """Take in a message."""
         try:
             number, kind, fields = unpack(body)
             if kind is Kind.ANSWER:
-                self.answered(number, fields)
+                self.resolve_reply(number, fields)
             elif kind is Kind.IMAGE:
                 table, image = fields
                 self.followers[table].take_image(decode_image(image))
             elif kind is Kind.CHANGES:
-                self.changes_told(*fields)
+                self.record_changes(*fields)
             elif kind is Kind.ALIVE:
-                self.vouched(*fields)
+                self.record_confirmation(*fields)
             elif kind is Kind.LEAVING:
                 self.leaving = True
         except (ValueError, TypeError, KeyError, AttributeError):
             # A peer of another version; its answers cannot be trusted.
             self.abort()
 
-    def changes_told(self, table: str, after: int, fields: Fields) -> None:
+    def record_changes(self, table: str, after: int, fields: Fields) -> None:
         """Take in changes of a table."""
         follower = self.followers[table]
         known = follower.revision
@@ -142,15 +142,15 @@
         else:
             follower.must_read = True
 
-    def vouched(self, revisions: dict[str, int]) -> None:
+    def record_confirmation(self, revisions: dict[str, int]) -> None:
         """Take in up to which revision the home knows tables."""
         for table, revision in revisions.items():
             self.followers[table].take_revision(revision)
-            self.vouched_at[table] = self.loop.time()
+            self.confirmed_at[table] = self.loop.time()
 
-    def answered(self, number: int, fields: Fields) -> None:
+    def resolve_reply(self, number: int, fields: Fields) -> None:
         """Hand an answer to whoever waits."""
-        future = self.waiting.pop(number, None)
+        future = self.pending.pop(number, None)
         if future is not None and not future.done():
             reply, seen = fields
             future.set_result(
@@ -159,8 +159,8 @@
 
     def next_number(self) -> int:
         """Return the number of the next request."""
-        self.numbers += 1
-        return self.numbers
+        self.last_number += 1
+        return self.last_number
 
     async def call(
         self, number: int, body: bytes, timeout_seconds: float
@@ -175,12 +175,12 @@
         if self.closed:
             return HomeLost(sent=False)
         future: asyncio.Future[HomeAnswer] = self.loop.create_future()
-        self.waiting[number] = future
+        self.pending[number] = future
         self.send(body)
         done, _ = await asyncio.wait([future], timeout=timeout_seconds)
         if done and not future.cancelled():
             return future.result()
-        self.waiting.pop(number, None)
+        self.pending.pop(number, None)
         if not done:
             # Silent: nothing says that later requests fare better.
             self.abort()
@@ -201,7 +201,7 @@
     """
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout(CONNECT_SECONDS):
+        async with asyncio.timeout(HOME_CONNECT_TIMEOUT_SECONDS):
             _, stream = await loop.create_connection(
                 lambda: HomeStream(followers, notice_dead_peer),
                 member.host,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -23,7 +23,7 @@
     from jackdawcrank.relay.group_relay import GroupRelay
 
 # A rollback needs no slot; a server that does not answer it is silent.
-UNDO_SECONDS = 1.0
+ROLLBACK_TIMEOUT_SECONDS = 1.0
 
 
 @attrs.frozen
@@ -74,7 +74,7 @@
         self.wrote = self.wrote or execution.writes
         sent_at = boot_seconds()
         start = self.loop.time()
-        commands = setup_commands(self.link, session.memory, execution)
+        commands = setup_commands(self.link, session.context, execution)
         commands.append(forward_command(self.link, execution))
         reply = await self.send(commands, start + self.timeout_seconds)
         if isinstance(reply, NotSent):
@@ -154,7 +154,7 @@
 
     def not_sent(self, request_id: str, start: float) -> Reply:
         """Roll back, since a statement's turn did not come."""
-        self.undo()
+        self.roll_back()
         self.group.log.event(
             "transaction_statement",
             request=request_id,
@@ -196,11 +196,11 @@
         if self.link.state is SessionState.IDLE:
             self.release()
         else:
-            self.undo()
+            self.roll_back()
         self.lane.condition.position_seen(reply.position)
-        self.note_commit(session.database, request_id, start, reply)
+        self.log_commit(session.database, request_id, start, reply)
         if reply.problem is None and self.wrote:
-            session.saw(reply.position)
+            session.record_position(reply.position)
             self.group.doubt.commit_acknowledged()
             if reply.position:
                 self.group.watermarks.add(sent_at, reply.position)
@@ -208,7 +208,7 @@
             self.group.disown(self.lane)
         return reply
 
-    def note_commit(
+    def log_commit(
         self, database: str, request_id: str, start: float, reply: Reply
     ) -> None:
         """Log the answer to a commit."""
@@ -257,7 +257,7 @@
             waited=round(self.loop.time() - start, 3),
         )
 
-    def undo(self) -> None:
+    def roll_back(self) -> None:
         """Roll back, and give the connection back once that is done."""
         if self.ended:
             return
@@ -265,7 +265,7 @@
             self.drop()
             return
         self.ended = True
-        give_back_after(
+        release_after(
             self.lane, self.link, self.link.send([UndoTransaction()])[0]
         )
 
@@ -282,7 +282,7 @@
             self.lane.discard(self.link)
 
 
-def give_back_after(
+def release_after(
     lane: ServerLane, link: ServerLink, future: asyncio.Future[Reply]
 ) -> None:
     """Give a connection back when its last command is answered.
@@ -293,7 +293,7 @@
       future: The reply to the last command.
     """
     loop = asyncio.get_running_loop()
-    timeout = loop.call_later(UNDO_SECONDS, link.close)
+    timeout = loop.call_later(ROLLBACK_TIMEOUT_SECONDS, link.close)
 
     def finish(done: asyncio.Future[Reply]) -> None:
         timeout.cancel()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -37,7 +37,7 @@
 from jackdawcrank_policy.homes import Member
 
 # Callers give up on connecting after 2 s.
-FIRST_CONFIGURATION_SECONDS = 1.8
+FIRST_CONFIGURATION_TIMEOUT_SECONDS = 1.8
 # A wait for declarations, so that a connection that fell silent is noticed
 # within the bound of a configuration (3 s at least).
 DECLARATIONS_WAIT_SHARE = 0.9
@@ -47,7 +47,7 @@
 MEMBERS_WAIT_SECONDS = 15.0
 # VMs that start together have found each other by then; below the time in
 # which a started process must know a configuration (3 s and more).
-CONTACTS_SECONDS = 2.5
+STARTUP_SETTLE_SECONDS = 2.5
 
 
 class RelayProxy:
@@ -95,7 +95,7 @@
                     store,
                     form.declarations_table,
                     settings.configuration_seconds * DECLARATIONS_WAIT_SHARE,
-                    CONTACTS_SECONDS,
+                    STARTUP_SETTLE_SECONDS,
                     self.directory.declarations_read,
                     self.directory.declarations_changed,
                     self.contact,
@@ -107,7 +107,7 @@
                     store,
                     form.servers_table,
                     settings.drain_seconds * SERVERS_WAIT_SHARE,
-                    CONTACTS_SECONDS,
+                    STARTUP_SETTLE_SECONDS,
                     self.directory.servers_read,
                     self.directory.servers_changed,
                     self.contact,
@@ -176,7 +176,7 @@
 
     def needs_servers(self) -> bool:
         """Return whether statements may be run from here."""
-        return self.home_server.wanted.is_set() or self.is_home()
+        return self.home_server.forwarding_seen.is_set() or self.is_home()
 
     async def start(self) -> None:
         """Begin to follow the store and to accept callers."""
@@ -203,7 +203,7 @@
         Raises:
           TimeoutError: The declarations have not been read yet.
         """
-        async with asyncio.timeout(FIRST_CONFIGURATION_SECONDS):
+        async with asyncio.timeout(FIRST_CONFIGURATION_TIMEOUT_SECONDS):
             await self.directory.ready.wait()
             if self.is_home():
                 await self.directory.servers_seen.wait()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/remote_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/remote_transaction.py
@@ -59,7 +59,7 @@
                 Kind.RUN_IN_TRANSACTION,
                 self.number,
                 encode_execution(execution),
-                session.memory.values,
+                session.context.values,
             ),
             self.timeout_seconds,
         )
@@ -82,11 +82,11 @@
             self.timeout_seconds,
         )
         if isinstance(answer, HomeAnswer):
-            session.saw(answer.seen)
+            session.record_position(answer.seen)
             return answer.reply
         if not answer.sent or not self.wrote:
             return self.lost(session, request_id)
-        self.note(session, request_id, Problem.IN_DOUBT)
+        self.log_home_lost(session, request_id, Problem.IN_DOUBT)
         return Reply(
             problem=Problem.IN_DOUBT,
             detail="the home did not answer the commit",
@@ -95,13 +95,13 @@
     def lost(self, session: SessionView, request_id: str) -> Reply:
         """Return that nothing was committed, since the commit was not sent."""
         self.ended = True
-        self.note(session, request_id, Problem.ROLLED_BACK)
+        self.log_home_lost(session, request_id, Problem.ROLLED_BACK)
         return Reply(
             problem=Problem.ROLLED_BACK,
             detail="the home did not answer; the transaction is rolled back",
         )
 
-    def note(
+    def log_home_lost(
         self, session: SessionView, request_id: str, outcome: Problem
     ) -> None:
         """Log that the home was lost."""
@@ -112,7 +112,7 @@
             outcome=outcome.value,
         )
 
-    def undo(self) -> None:
+    def roll_back(self) -> None:
         """Roll back."""
         if not self.ended:
             self.ended = True
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
@@ -114,16 +114,16 @@
         self.loop = asyncio.get_running_loop()
 
     async def acquire(
-        self, memory: SessionContext, limits: WaitLimits
+        self, context: SessionContext, limits: WaitLimits
     ) -> Granted | Hopeless:
         """Return a connection, waiting for one if all are in use.
 
         Args:
-          memory: What the session has set up; a fitting connection is
+          context: What the session has set up; a fitting connection is
             preferred.
           limits: How the statement may wait, by the loop's clock.
         """
-        granted = await self.connect(memory, limits)
+        granted = await self.connect(context, limits)
         if isinstance(granted, (NotOpened, Hopeless)):
             return granted
         # In this order, since whoever holds a place at the gate must be able
@@ -135,12 +135,12 @@
         return Hopeless()
 
     async def connect(
-        self, memory: SessionContext, limits: WaitLimits
+        self, context: SessionContext, limits: WaitLimits
     ) -> Granted | Hopeless:
         """Return a connection, opening one or waiting for one."""
         now = self.loop.time()
         deadline = self.patience.wait_deadline(now, self.line.length, limits)
-        link = self.take_idle(memory)
+        link = self.take_idle(context)
         if link is not None:
             return self.lend(link)
         ahead = self.line.ahead_of(limits.priority)
@@ -226,13 +226,13 @@
             self.count += 1
         return opened
 
-    def take_idle(self, memory: SessionContext) -> ServerLink | None:
+    def take_idle(self, context: SessionContext) -> ServerLink | None:
         """Return the idle connection that fits a session best, or None."""
         while self.idle:
             best = min(
                 range(len(self.idle)),
                 key=lambda index: (
-                    self.idle[index].link.memory.count_differences(memory),
+                    self.idle[index].link.context.count_differences(context),
                     -index,
                 ),
             )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/session_view.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/session_view.py
@@ -15,7 +15,7 @@
 
     Attributes:
       database: The database that it named.
-      memory: Its session values and prepared names.
+      context: Its session values and prepared names.
       last_position: The newest commit that it was told of.
       read_only: Whether its transaction may not write.
       spec: The database's declaration.
@@ -23,13 +23,13 @@
     """
 
     database: str
-    memory: SessionContext
+    context: SessionContext
     last_position: Position | None
     read_only: bool
     spec: DatabaseSpec | None
     group: "GroupRelay | None"
 
-    def saw(self, position: Position | None) -> None:
+    def record_position(self, position: Position | None) -> None:
         """Take in the position of a commit of this session.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -17,7 +17,7 @@
 from jackdawcrank.relay.group_relay import GroupRelay
 from jackdawcrank.relay.open_transaction import (
     OpenTransaction,
-    give_back_after,
+    release_after,
 )
 from jackdawcrank.relay.resolver import Resolver
 from jackdawcrank.relay.server_lane import Hopeless, ServerLane
@@ -172,7 +172,7 @@
         if leased is None:
             return None
         lane, link = leased
-        batch = setup_commands(link, session.memory, execution)
+        batch = setup_commands(link, session.context, execution)
         batch.append(forward_command(link, execution))
         start = self.loop.time()
         sent_at = boot_seconds()
@@ -194,7 +194,7 @@
             self.note_refusal(group, lane, reply, attempts)
             return None
         if reply.problem is None:
-            session.saw(reply.position)
+            session.record_position(reply.position)
             group.doubt.commit_acknowledged()
             if reply.position:
                 group.watermarks.add(sent_at, reply.position)
@@ -218,7 +218,7 @@
         link = await self.lease(lane, session, attempts)
         if link is None:
             return None
-        batch = setup_commands(link, session.memory, execution)
+        batch = setup_commands(link, session.context, execution)
         batch.append(forward_command(link, execution, needed))
         reply = await self.read_reply(
             group, lane, link, link.send(batch)[-1], attempts
@@ -350,7 +350,7 @@
         if leased is None:
             return None
         lane, link = leased
-        batch = setup_commands(link, session.memory, execution)
+        batch = setup_commands(link, session.context, execution)
         opening = len(batch)
         batch.append(commands.OpenTransaction(read_only=False))
         batch.append(forward_command(link, execution))
@@ -366,7 +366,7 @@
         if reply.problem is Problem.UNKNOWN_NAME:
             self.give_back(lane, link, broken=True)
         else:
-            give_back_after(lane, link, futures[-1])
+            release_after(lane, link, futures[-1])
         if opened.problem is not None:
             self.note_refusal(group, lane, opened, attempts)
             return None
@@ -450,7 +450,7 @@
             if found is None:
                 return None
             link = found
-        batch = setup_commands(link, session.memory, execution)
+        batch = setup_commands(link, session.context, execution)
         batch.append(
             commands.OpenTransaction(read_only=not on_primary, needed=needed)
         )
@@ -492,7 +492,7 @@
         spec, group = resolved(session)
         attempts.server = lane.server.server_id
         granted = await lane.acquire(
-            session.memory, self.wait_limits(spec, lane, attempts)
+            session.context, self.wait_limits(spec, lane, attempts)
         )
         if isinstance(granted, Hopeless):
             attempts.reason = OpenFailure.FULL.value
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/transaction_view.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/transaction_view.py
@@ -26,7 +26,7 @@
           request_id: The caller's id of the commit.
         """
 
-    def undo(self) -> None:
+    def roll_back(self) -> None:
         """Roll back, and give the connection back once that is done."""
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/watch_contacts.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/watch_contacts.py
@@ -89,7 +89,9 @@
           table: The table.
         """
         vouching = [
-            one for one in self.streams() if one.vouches(table, VOUCHED_SECONDS)
+            one
+            for one in self.streams()
+            if one.has_confirmed(table, VOUCHED_SECONDS)
         ]
         return len(vouching) >= MIN_UPSTREAMS
 
@@ -105,18 +107,18 @@
         for member in self.above():
             if useful >= MIN_UPSTREAMS:
                 return
-            stream = await self.router.reach(member)
+            stream = await self.router.connected_stream(member)
             if stream is None or stream.leaving:
                 continue
-            stream.follow(tables)
+            stream.subscribe(tables)
             useful += self.useful(stream, tables)
 
     def useful(self, stream: HomeStream, tables: set[str]) -> bool:
         """Return whether a VM vouches, or has just been asked to."""
         now = self.router.loop.time()
-        if now - stream.asked_at < ANSWER_SECONDS:
+        if now - stream.subscribed_at < ANSWER_SECONDS:
             return True
-        return all(stream.vouches(one, VOUCHED_SECONDS) for one in tables)
+        return all(stream.has_confirmed(one, VOUCHED_SECONDS) for one in tables)
 
     def note(self, tables: set[str]) -> None:
         """Log when this VM begins or ceases to rely on others."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/server_link.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/server_link.py
@@ -48,14 +48,14 @@
     """A connection to one backend server.
 
     Attributes:
-      memory: What the connection holds of the sessions that used it.
+      context: What the connection holds of the sessions that used it.
       closed: Whether it can be used no more.
       state: Where the connection stands, by the server's last answer.
       first_position: The position that the server told on connecting.
       on_closed: Called once when the connection has ended.
     """
 
-    memory: ConnectionContext
+    context: ConnectionContext
     closed: bool
     state: SessionState
     first_position: Position | None
--- a/packages/jackdawcrank-proxy/tests/relay/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/relay/conftest.py
@@ -24,7 +24,7 @@
       sent: The commands so far, each with its reply to come.
     """
 
-    memory: ConnectionContext = attrs.Factory(ConnectionContext)
+    context: ConnectionContext = attrs.Factory(ConnectionContext)
     closed: bool = False
     state: SessionState = SessionState.IDLE
     first_position: Position | None = None
@@ -51,29 +51,31 @@
     """Opens connections when the test says so.
 
     Attributes:
-      waiting: Openings under way.
+      pending_opens: Openings under way.
       opened: Connections that were opened.
     """
 
-    waiting: list[asyncio.Future[FakeLink | NotOpened]] = attrs.Factory(list)
+    pending_opens: list[asyncio.Future[FakeLink | NotOpened]] = attrs.Factory(
+        list
+    )
     opened: list[FakeLink] = attrs.Factory(list)
 
     async def open(
         self, server: ListedServer, timeout_seconds: float
     ) -> FakeLink | NotOpened:
         future = asyncio.get_running_loop().create_future()
-        self.waiting.append(future)
+        self.pending_opens.append(future)
         return await future
 
-    async def let_one_open(self) -> FakeLink:
+    async def complete_next_open(self) -> FakeLink:
         link = FakeLink()
         self.opened.append(link)
-        self.waiting.pop(0).set_result(link)
-        await settle()
+        self.pending_opens.pop(0).set_result(link)
+        await run_ready_tasks()
         return link
 
 
-async def settle() -> None:
+async def run_ready_tasks() -> None:
     """Let every task run as far as it can."""
     for _ in range(20):
         await asyncio.sleep(0)
--- a/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
@@ -14,7 +14,7 @@
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
 from jackdawcrank_policy.sessions import SessionContext
 
-from .conftest import FakeLink, FakeOpener, settle
+from .conftest import FakeLink, FakeOpener, run_ready_tasks
 
 
 @attrs.define
@@ -30,7 +30,7 @@
 @attrs.define
 class FakeSession:
     database: str = "plots"
-    memory: SessionContext = attrs.Factory(SessionContext)
+    context: SessionContext = attrs.Factory(SessionContext)
 
 
 SESSION = typing.cast(SessionView, FakeSession())
@@ -55,12 +55,12 @@
     )
 
 
-async def test_statement_whose_turn_does_not_come_is_rolled_back(
+async def test_statement_not_admitted_in_time_is_rolled_back(
     transaction: OpenTransaction, group: FakeGroup
 ) -> None:
     reply = await transaction.run(SESSION, Execution("r1", True, "WRITE a b"))
     assert reply.problem is Problem.ROLLED_BACK
-    assert undone(transaction)
+    assert is_rolled_back(transaction)
     # A full server is no evidence against it.
     assert group.lost == 0
 
@@ -71,7 +71,7 @@
     transaction.wrote = True
     reply = await transaction.commit(SESSION, "r2")
     assert reply.problem is Problem.ROLLED_BACK
-    assert undone(transaction)
+    assert is_rolled_back(transaction)
     assert group.lost == 0
 
 
@@ -86,18 +86,18 @@
     assert group.lost == 1
 
 
-async def test_undone_connection_comes_back_when_the_server_says_so(
+async def test_connection_is_released_after_the_rollback_reply(
     transaction: OpenTransaction, lane: ServerLane
 ) -> None:
     await transaction.run(SESSION, Execution("r1", True, "WRITE a b"))
     link = typing.cast(FakeLink, transaction.link)
     link.state = SessionState.IDLE
     link.sent[-1][1].set_result(Reply())
-    await settle()
+    await run_ready_tasks()
     assert [one.link for one in lane.idle] == [link]
     await asyncio.sleep(0)
 
 
-def undone(transaction: OpenTransaction) -> bool:
+def is_rolled_back(transaction: OpenTransaction) -> bool:
     link = typing.cast(FakeLink, transaction.link)
     return [command for command, _ in link.sent] == [UndoTransaction()]
--- a/packages/jackdawcrank-proxy/tests/relay/test_server_lane.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_server_lane.py
@@ -7,7 +7,7 @@
 from jackdawcrank_policy.sessions import SessionContext
 from jackdawcrank_policy.waiting import WaitLimits
 
-from .conftest import FakeOpener, settle
+from .conftest import FakeOpener, run_ready_tasks
 
 
 def limits(seconds: float = 5.0) -> WaitLimits:
@@ -23,10 +23,10 @@
     lane: ServerLane, opener: FakeOpener
 ) -> None:
     asking = [ask(lane) for _ in range(6)]
-    await settle()
-    assert (len(opener.waiting), lane.count) == (1, 1)
-    await opener.let_one_open()
-    assert (len(opener.waiting), lane.count) == (1, 2)
+    await run_ready_tasks()
+    assert (len(opener.pending_opens), lane.count) == (1, 1)
+    await opener.complete_next_open()
+    assert (len(opener.pending_opens), lane.count) == (1, 2)
     for task in asking:
         task.cancel()
 
@@ -35,14 +35,14 @@
     lane: ServerLane, opener: FakeOpener
 ) -> None:
     asking = [ask(lane) for _ in range(6)]
-    await settle()
+    await run_ready_tasks()
     for _ in range(2):
-        await opener.let_one_open()
+        await opener.complete_next_open()
     # Two run, and the server is taken to be full.
     assert lane.gate.under_way == 2
-    assert opener.waiting == [] and lane.count == 2
+    assert opener.pending_opens == [] and lane.count == 2
     lane.release(opener.opened[0])
-    await settle()
+    await run_ready_tasks()
     # What came back goes to the next one in line.
     assert lane.gate.under_way == 2 and lane.line.length == 3
     for task in asking:
@@ -53,15 +53,15 @@
     lane: ServerLane, opener: FakeOpener
 ) -> None:
     asking = [ask(lane) for _ in range(4)]
-    await settle()
+    await run_ready_tasks()
     for _ in range(2):
-        await opener.let_one_open()
-    assert opener.waiting == []
+        await opener.complete_next_open()
+    assert opener.pending_opens == []
     # A transaction keeps its connection and rests.
     lane.rest(opener.opened[0])
-    assert len(opener.waiting) == 0
-    await settle()
-    assert len(opener.waiting) == 1
+    assert len(opener.pending_opens) == 0
+    await run_ready_tasks()
+    assert len(opener.pending_opens) == 1
     for task in asking:
         task.cancel()
 
@@ -71,7 +71,7 @@
 ) -> None:
     lane.gate.under_way = 2
     waiting = asyncio.create_task(lane.gate.enter(limits()))
-    await settle()
+    await run_ready_tasks()
     lane.gate.patience.nonempty_since = asyncio.get_running_loop().time() - 1.0
     now = asyncio.get_running_loop().time()
     hopeless = WaitLimits(1, now + 5.0, now)
@@ -83,9 +83,9 @@
     lane: ServerLane, opener: FakeOpener
 ) -> None:
     asking = [ask(lane) for _ in range(3)]
-    await settle()
+    await run_ready_tasks()
     refused = NotOpened(OpenFailure.REFUSED, "nobody listens")
-    opener.waiting.pop(0).set_result(refused)
+    opener.pending_opens.pop(0).set_result(refused)
     assert await asyncio.gather(*asking) == [refused] * 3
     assert lane.count == 0
 
@@ -105,9 +105,9 @@
     lane: ServerLane, opener: FakeOpener
 ) -> None:
     asking = [ask(lane) for _ in range(2)]
-    await settle()
+    await run_ready_tasks()
     for _ in range(2):
-        await opener.let_one_open()
+        await opener.complete_next_open()
     assert await asyncio.gather(*asking) == opener.opened
     for link in opener.opened:
         lane.release(link)
--- a/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
@@ -17,7 +17,7 @@
     TableImage,
 )
 
-from .conftest import settle
+from .conftest import run_ready_tasks
 
 
 @attrs.define
@@ -86,9 +86,9 @@
 ) -> None:
     store.image = TableImage((row("a", 3),), 5, 100.0)
     await follower.start()
-    await settle()
+    await run_ready_tasks()
     store.answers.put_nowait(TableChanges((row("b", 7),), ("a",), 7))
-    await settle()
+    await run_ready_tasks()
     assert (store.asked_after[0], follower.revision) == (5, 7)
     assert set(follower.rows) == {"b"}
 
@@ -104,11 +104,11 @@
     follower: TableFollower, store: FakeStore
 ) -> None:
     await follower.start()
-    await settle()
+    await run_ready_tasks()
     follower.vouched = lambda _table: True
     store.image = TableImage((row("a", 30),), 31, 130.0)
     store.answers.put_nowait(HistoryGone())
-    await settle()
+    await run_ready_tasks()
     assert store.reads == 2
     assert (follower.revision, set(follower.rows)) == (31, {"a"})
 
@@ -119,7 +119,7 @@
     follower.take_image(TableImage((), 5, 100.0))
     follower.vouched = lambda _table: True
     await follower.start()
-    await settle()
+    await run_ready_tasks()
     assert (store.reads, store.asked_after) == (0, [])
     assert not follower.active()
 
