--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
@@ -122,7 +122,7 @@
             return await self.local.run_single(session, execution)
         if isinstance(forwarded, Reply):
             return forwarded
-        session.record_position(forwarded.answer.seen)
+        session.record_position(forwarded.answer.last_position)
         return forwarded.answer.reply
 
     async def begin(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
@@ -151,10 +151,13 @@
         self, number: int, session: ForwardedSession | None, reply: Reply
     ) -> None:
         """Send an answer."""
-        seen = session.last_position if session else None
+        last_position = session.last_position if session else None
         self.send(
             pack(
-                number, Kind.ANSWER, encode_reply(reply), encode_position(seen)
+                number,
+                Kind.ANSWER,
+                encode_reply(reply),
+                encode_position(last_position),
             )
         )
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
@@ -34,11 +34,11 @@
 
     Attributes:
       reply: The reply for the caller.
-      seen: The newest commit that the session was told of.
+      last_position: The newest commit that the session was told of.
     """
 
     reply: Reply
-    seen: Position | None
+    last_position: Position | None
 
 
 @attrs.frozen
@@ -152,9 +152,9 @@
         """Hand an answer to whoever waits."""
         future = self.pending.pop(number, None)
         if future is not None and not future.done():
-            reply, seen = fields
+            reply, last_position = fields
             future.set_result(
-                HomeAnswer(decode_reply(reply), decode_position(seen))
+                HomeAnswer(decode_reply(reply), decode_position(last_position))
             )
 
     def next_number(self) -> int:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -64,7 +64,7 @@
         self,
         settings: RelaySettings,
         store: MetadataStore,
-        form: DeclarationFormat,
+        declaration_format: DeclarationFormat,
         opener: LinkOpener,
         authority: LeadAuthority,
         front: CallerFront,
@@ -81,7 +81,7 @@
         self.members = MemberRows(store, own, log, rng)
         self.homes = Homes(self.members)
         self.directory = Directory(
-            form,
+            declaration_format,
             opener,
             Whereabouts(settings.data_center, settings.regions),
             self.contact,
@@ -93,7 +93,7 @@
             for one in (
                 TableFollower(
                     store,
-                    form.declarations_table,
+                    declaration_format.declarations_table,
                     settings.configuration_seconds * DECLARATIONS_WAIT_SHARE,
                     STARTUP_SETTLE_SECONDS,
                     self.directory.declarations_read,
@@ -105,7 +105,7 @@
                 ),
                 TableFollower(
                     store,
-                    form.servers_table,
+                    declaration_format.servers_table,
                     settings.drain_seconds * SERVERS_WAIT_SHARE,
                     STARTUP_SETTLE_SECONDS,
                     self.directory.servers_read,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/remote_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/remote_transaction.py
@@ -82,7 +82,7 @@
             self.timeout_seconds,
         )
         if isinstance(answer, HomeAnswer):
-            session.record_position(answer.seen)
+            session.record_position(answer.last_position)
             return answer.reply
         if not answer.sent or not self.wrote:
             return self.lost(session, request_id)
