--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/caller_session.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/caller_session.py
@@ -1,4 +1,4 @@
-"""One caller's session."""
+"""Session of one caller connection."""
 
 import asyncio
 import functools
@@ -26,28 +26,31 @@
 from jackdawcrank_policy.sessions import PreparedStatement, SessionContext
 from jackdawcrank_policy.values.position import Position
 
-# A caller's own mistakes cannot grow a process beyond its memory limit.
+# Bound the memory that a faulty caller can use in this process.
 MAX_VALUES = 256
 MAX_STATEMENTS = 1_024
 
 
 @attrs.define(eq=False)
 class CallerSession:
-    """What a connected caller has set up and where it stands.
+    """Session values, prepared statements and transaction state of a caller.
 
     Attributes:
-      database: The database that it named on connecting.
-      directory: Finds its database.
-      runner: Runs its statements.
-      context: Its session values and prepared names.
-      state: Where it stands.
-      last_position: The newest commit that it was told of.
-      transaction: The open transaction once a server runs it.
-      read_only: Whether the transaction may not write.
-      spec: The database's declaration when the transaction began.
-      group: The group that served it then.
-      busy: Whether a statement is under way.
-      active_at: When the last statement ended, in seconds.
+      database: The database that the caller named when it connected.
+      directory: Looks up the database.
+      runner: Runs the session's statements.
+      context: Session values and prepared statements.
+      state: The transaction state.
+      last_position: The newest commit position returned to the caller.
+      transaction: The open transaction; None until its first statement is
+        assigned to a server.
+      read_only: Whether the open transaction is read-only.
+      spec: The database's declaration when the last statement outside a
+        transaction, or the open transaction, began.
+      group: The database group at that time.
+      busy: Whether a statement is running.
+      active_at: When the last statement ended, in seconds on the event loop's
+        clock.
     """
 
     database: str
@@ -64,10 +67,10 @@
     active_at: float = 0.0
 
     async def handle(self, request_id: str, statement: Statement) -> Reply:
-        """Run a statement and return the whole answer.
+        """Run a statement and return the complete reply.
 
         Args:
-          request_id: The caller's id of the statement.
+          request_id: The request id that the caller sent.
           statement: The statement.
         """
         self.busy = True
@@ -80,40 +83,47 @@
             self.active_at = asyncio.get_running_loop().time()
 
     def reply_after_failure(self, statement: Statement) -> Reply:
-        """Answer while only ending the transaction is possible."""
+        """Return the reply to a statement in a failed transaction.
+
+        Only a rollback or a commit is accepted, and both end the transaction.
+
+        Args:
+          statement: The statement.
+        """
         if isinstance(statement, Rollback):
             self.end_transaction()
             return self.done()
         if isinstance(statement, Commit):
             self.end_transaction()
             return self.refuse(
-                Problem.ROLLED_BACK, "the transaction had failed"
+                Problem.ROLLED_BACK,
+                "the transaction failed and was rolled back",
             )
         return self.refuse(
-            Problem.MALFORMED, "the transaction failed; roll it back"
+            Problem.MALFORMED, "the transaction failed; roll it back first"
         )
 
     def done(self) -> Reply:
-        """Return a success that no server was asked for."""
+        """Return a success reply for a statement handled without a server."""
         return Reply(state=self.state, position=self.last_position)
 
     def refuse(self, problem: Problem, detail: str) -> Reply:
-        """Return a problem of the proxy's own.
+        """Return an error reply raised by the proxy.
 
         Args:
-          problem: What kind it is.
-          detail: A sentence about it.
+          problem: The kind of error.
+          detail: The error message.
         """
         return Reply(problem=problem, detail=detail, state=self.state)
 
     def end_transaction(self) -> None:
-        """Forget the transaction."""
+        """Reset the session to the state outside a transaction."""
         self.transaction = None
         self.read_only = False
         self.state = SessionState.IDLE
 
     def resolve(self) -> bool:
-        """Find the database's declaration; return whether there is one."""
+        """Look up the database; return whether it is declared."""
         found = self.directory.resolve(self.database)
         if found is None:
             return False
@@ -121,23 +131,23 @@
         return True
 
     def fail_transaction(self) -> None:
-        """Roll back on the server and wait for the caller to end it."""
+        """Roll back on the server and mark the transaction as failed."""
         if self.transaction is not None:
             self.transaction.roll_back()
         self.transaction = None
         self.state = SessionState.FAILED
 
     def discard_transaction(self) -> None:
-        """Roll back what the caller has left behind."""
+        """Roll back the open transaction, if there is one."""
         if self.transaction is not None:
             self.transaction.roll_back()
             self.transaction = None
 
     async def run_data(self, execution: Execution) -> Reply:
-        """Run a read, a write or a prepared one.
+        """Run a read, a write or a prepared statement.
 
         Args:
-          execution: What to run.
+          execution: The statement to run.
         """
         if self.state is SessionState.IDLE:
             if not self.resolve():
@@ -153,10 +163,10 @@
         return attrs.evolve(reply, state=self.state)
 
     async def run_in_transaction(self, execution: Execution) -> Reply:
-        """Run a statement of the open transaction.
+        """Run a statement in the open transaction.
 
         Args:
-          execution: What to run.
+          execution: The statement to run.
         """
         if self.transaction is None:
             opened = await self.runner.begin(self, execution)
@@ -170,16 +180,16 @@
         return reply
 
     def unknown_database(self) -> Reply:
-        """Return that the database is not declared."""
+        """Return the error reply for a database that is not declared."""
         return self.refuse(
             Problem.UNKNOWN_DATABASE, f"no database {self.database!r}"
         )
 
     def record_position(self, position: Position | None) -> None:
-        """Take in the position of a commit of this session.
+        """Advance the last position of this session.
 
         Args:
-          position: The position; None if the server told none.
+          position: The commit position, or None if the server sent none.
         """
         if position and (
             self.last_position is None or position > self.last_position
@@ -191,12 +201,15 @@
 async def handle(
     statement: Statement, session: CallerSession, request_id: str
 ) -> Reply:
-    """Run one kind of statement.
+    """Run a statement of one type.
 
     Args:
       statement: The statement.
-      session: Whose it is.
-      request_id: The caller's id of it.
+      session: The session that it belongs to.
+      request_id: The request id that the caller sent.
+
+    Raises:
+      TypeError: No handler is registered for the statement's type.
     """
     raise TypeError(f"unknown statement {statement!r}")
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/frame_protocol.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/frame_protocol.py
@@ -1,4 +1,4 @@
-"""Length-prefixed frames over one connection."""
+"""Length-prefixed frames on one TCP connection."""
 
 import asyncio
 import struct
@@ -9,11 +9,11 @@
 
 
 class FrameProtocol(asyncio.Protocol):
-    """Splits a stream into frames; subclasses take them in.
+    """Splits a byte stream into frames that subclasses handle.
 
     Attributes:
-      transport: The connection, once it is made.
-      closed: Whether it has ended.
+      transport: The transport, or None before the connection is made.
+      closed: Whether the connection is closed.
     """
 
     def __init__(self) -> None:
@@ -22,12 +22,18 @@
         self.buffer = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes; hand over the frames that they complete."""
+        """Buffer received bytes and handle each complete frame.
+
+        Aborts the connection if a frame is longer than `MAX_FRAME_BYTES`.
+
+        Args:
+          data: The received bytes.
+        """
         self.buffer += data
         while len(self.buffer) >= LENGTH.size and not self.closed:
             (length,) = LENGTH.unpack_from(self.buffer)
@@ -42,24 +48,26 @@
             self.frame_received(body)
 
     def frame_received(self, body: bytes) -> None:
-        """Take in a frame.
+        """Handle a frame.
 
         Args:
-          body: Its body.
+          body: The frame without its length prefix.
         """
         raise NotImplementedError
 
     def send(self, body: bytes) -> None:
-        """Send a frame without waiting.
+        """Write a frame to the transport without waiting.
+
+        The frame is dropped if the connection is not open.
 
         Args:
-          body: Its body.
+          body: The frame without its length prefix.
         """
         if self.transport is not None and not self.closed:
             self.transport.write(LENGTH.pack(len(body)) + body)
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately; unsent data is lost."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_messages.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_messages.py
@@ -1,7 +1,7 @@
-"""What proxies and homes say to each other.
+"""Messages between entry proxies and home proxies.
 
-Frames are msgpack lists: the request's number, the kind, then the fields in
-the order of the types below. Number 0 expects no answer.
+A frame is a msgpack list: the request number, the message kind, then the
+fields in the order of the types below. Messages with number 0 get no reply.
 """
 
 import enum
@@ -21,12 +21,12 @@
 from jackdawcrank_policy.sessions import PreparedStatement
 from jackdawcrank_policy.values.position import Position
 
-# A statement of 1 MiB, its session values and the framing.
+# Holds a statement of 1 MiB with its session values and the framing.
 MAX_FRAME_BYTES = 2 * 1024 * 1024
 
 
 class Kind(enum.IntEnum):
-    """The kinds of messages."""
+    """The kind of a message."""
 
     RUN = 1
     BEGIN = 2
@@ -45,24 +45,24 @@
 
 
 def pack(number: int, kind: Kind, *fields: typing.Any) -> bytes:
-    """Return a frame's body.
+    """Return the encoded body of a frame.
 
     Args:
-      number: The request's number, or 0.
-      kind: What the message is.
-      *fields: Its fields.
+      number: The request number, or 0 if no reply is expected.
+      kind: The kind of the message.
+      *fields: The fields of the message.
     """
     return typing.cast(bytes, msgpack.packb([number, int(kind), *fields]))
 
 
 def unpack(body: bytes) -> tuple[int, Kind, Fields]:
-    """Return a frame's number, kind and fields.
+    """Return the request number, kind and fields of a frame.
 
     Args:
-      body: The frame's body.
+      body: The encoded body of the frame.
 
     Raises:
-      ValueError: It is no message.
+      ValueError: The body is not a valid message.
     """
     try:
         number, kind, *fields = msgpack.unpackb(body, use_list=True)
@@ -76,21 +76,21 @@
 
 
 def encode_position(position: Position | None) -> Fields | None:
-    """Return a position as sent."""
+    """Return a position as message fields, or None."""
     return [position.term, position.offset] if position else None
 
 
 def decode_position(fields: Fields | None) -> Position | None:
-    """Return the position that was sent."""
+    """Return the position decoded from message fields, or None."""
     return Position(*fields) if fields else None
 
 
 def encode_session(session: SessionView, spec: DatabaseSpec) -> Fields:
-    """Return what a home needs to know of a session.
+    """Return the part of a session that a home needs, as message fields.
 
     Args:
       session: The session.
-      spec: Its database's declaration.
+      spec: The declaration of its database.
     """
     return [
         session.database,
@@ -109,18 +109,18 @@
 
 
 def decode_spec(name: str, fields: Fields) -> DatabaseSpec:
-    """Return the declaration that was sent.
+    """Return a database declaration decoded from message fields.
 
     Args:
-      name: The database's name.
-      fields: The rest of it.
+      name: The name of the database.
+      fields: The other fields of the declaration.
     """
     group, consistency, *rest = fields
     return DatabaseSpec(name, group, Consistency(consistency), *rest)
 
 
 def encode_execution(execution: Execution | None) -> Fields | None:
-    """Return a statement as sent."""
+    """Return a statement as message fields, or None."""
     if execution is None:
         return None
     prepared = execution.prepared
@@ -133,7 +133,7 @@
 
 
 def decode_execution(fields: Fields | None) -> Execution | None:
-    """Return the statement that was sent."""
+    """Return the statement decoded from message fields, or None."""
     if fields is None:
         return None
     request_id, writes, text, prepared = fields
@@ -146,7 +146,7 @@
 
 
 def encode_reply(reply: Reply) -> Fields:
-    """Return an answer as sent."""
+    """Return a reply as message fields."""
     return [
         reply.rows,
         reply.signature,
@@ -158,7 +158,7 @@
 
 
 def decode_reply(fields: Fields) -> Reply:
-    """Return the answer that was sent."""
+    """Return the reply decoded from message fields."""
     rows, signature, problem, detail, state, position = fields
     return Reply(
         tuple(rows),
@@ -171,32 +171,32 @@
 
 
 def encode_rows(rows: typing.Iterable[StoredRow]) -> Fields:
-    """Return rows as sent."""
+    """Return rows as message fields."""
     return [[row.key, row.value, row.revision] for row in rows]
 
 
 def decode_rows(fields: Fields) -> tuple[StoredRow, ...]:
-    """Return the rows that were sent."""
+    """Return the rows decoded from message fields."""
     return tuple(StoredRow(*row) for row in fields)
 
 
 def encode_image(image: TableImage) -> Fields:
-    """Return a table as sent."""
+    """Return a table image as message fields."""
     return [encode_rows(image.rows), image.revision, image.store_seconds]
 
 
 def decode_image(fields: Fields) -> TableImage:
-    """Return the table that was sent."""
+    """Return the table image decoded from message fields."""
     rows, revision, store_seconds = fields
     return TableImage(decode_rows(rows), revision, store_seconds)
 
 
 def encode_changes(changes: TableChanges) -> Fields:
-    """Return changes as sent."""
+    """Return table changes as message fields."""
     return [encode_rows(changes.rows), changes.removed, changes.revision]
 
 
 def decode_changes(fields: Fields) -> TableChanges:
-    """Return the changes that were sent."""
+    """Return the table changes decoded from message fields."""
     rows, removed, revision = fields
     return TableChanges(decode_rows(rows), tuple(removed), revision)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
@@ -1,4 +1,4 @@
-"""Sending statements to a home, or running them here."""
+"""Routing of statements to a home proxy or to the local servers."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -29,19 +29,20 @@
 from jackdawcrank.seams.replies import Problem, Reply
 from jackdawcrank_policy.homes import Member
 
-# A home that could not be reached is passed over for this long: the time in
-# which a killed process starts again.
+# How long an unreachable home is skipped: the time in which a killed process
+# restarts.
 UNREACHABLE_BACKOFF_SECONDS = 1.0
 
 
 @attrs.define
 class Route:
-    """The way to one home.
+    """Connection state of one home.
 
     Attributes:
-      stream: The stream, while there is one.
-      opening: Connects, while that is under way.
-      retry_at: Until when the home is passed over.
+      stream: The last stream opened to the home, or None.
+      opening: The connection attempt in progress, or None.
+      retry_at: When the home may be tried again, in seconds on the event
+        loop's clock.
     """
 
     stream: HomeStream | None = None
@@ -51,12 +52,12 @@
 
 @attrs.frozen
 class ForwardedRequest:
-    """A request that a home has answered.
+    """A request that a home answered.
 
     Attributes:
       stream: The stream to the home.
-      number: The request's number on it.
-      answer: What the home answered.
+      number: The request number on the stream.
+      answer: The home's answer.
     """
 
     stream: HomeStream
@@ -65,12 +66,18 @@
 
 
 class HomeRouter:
-    """Runs statements where their group's connections are.
+    """Runs statements on a home of their database group.
+
+    A home pools the backend connections of the group. If this proxy is a home
+    of the group, or no other home can be reached, statements run locally.
 
     Attributes:
-      local: Runs them here.
-      homes: Knows which proxies are homes.
-      routes: The ways to other proxies, by VM.
+      local: Runs statements on this proxy.
+      homes: Selects the homes of a group.
+      log: Records routing events.
+      followers: The followers of the store's tables, by table.
+      notice_dead_peer: Sets the socket options that detect a dead peer.
+      routes: Connection state of the other proxies, by VM.
     """
 
     def __init__(
@@ -90,7 +97,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def close(self) -> None:
-        """End every stream."""
+        """Close every stream and cancel connection attempts."""
         for route in self.routes.values():
             if route.opening:
                 route.opening.cancel()
@@ -101,7 +108,7 @@
         """Return the open stream to a VM, or None.
 
         Args:
-          vm: The VM's name.
+          vm: The name of the VM.
         """
         route = self.routes.get(vm)
         if route is None or route.stream is None or route.stream.closed:
@@ -114,7 +121,7 @@
         """Run a statement outside a transaction.
 
         Args:
-          session: Whose it is; its database is resolved.
+          session: The caller's session; its database must be resolved.
           execution: The statement.
         """
         forwarded = await self.forward(Kind.RUN, session, execution)
@@ -128,11 +135,14 @@
     async def begin(
         self, session: SessionView, execution: Execution | None
     ) -> Transaction | Reply:
-        """Open a transaction on the server that fits it.
+        """Open a transaction on a suitable server.
 
         Args:
-          session: Whose it is; its database is resolved.
-          execution: Its first statement, if there is one.
+          session: The caller's session; its database must be resolved.
+          execution: The first statement, or None.
+
+        Returns:
+          The open transaction, or the error reply.
         """
         forwarded = await self.forward(Kind.BEGIN, session, execution)
         if forwarded is None:
@@ -149,16 +159,16 @@
     async def forward(
         self, kind: Kind, session: SessionView, execution: Execution | None
     ) -> ForwardedRequest | Reply | None:
-        """Have a home run a request.
+        """Forward a request to a home.
 
         Args:
-          kind: What is asked of it.
-          session: Whose request it is.
-          execution: The statement, if there is one.
+          kind: The kind of the request.
+          session: The caller's session.
+          execution: The statement, or None.
 
         Returns:
-          What a home answered, a problem of the proxy's own, or None if the
-          request is to be run here.
+          The answered request, an error reply of this proxy, or None if the
+          request must run locally.
         """
         spec, group = resolved(session)
         deadline = self.loop.time() + spec.statement_timeout_seconds
@@ -186,7 +196,7 @@
         execution: Execution | None,
         deadline: float,
     ) -> tuple[int, HomeAnswer | HomeLost]:
-        """Forward a statement; return the request's number and the answer."""
+        """Send a request to a home; return its number and the answer."""
         spec, _ = resolved(session)
         number = stream.next_number()
         body = pack(
@@ -201,7 +211,7 @@
     def in_doubt_reply(
         self, session: SessionView, execution: Execution | None
     ) -> Reply:
-        """Return that a home took a write with it."""
+        """Return the reply to a write whose home did not answer."""
         self.log.event(
             "home_lost",
             request=execution.request_id if execution else "",
@@ -213,7 +223,10 @@
     def timeout_reply(
         self, session: SessionView, execution: Execution | None
     ) -> Reply:
-        """Return that no home answered in time; nothing is kept."""
+        """Return the reply to a request that no home answered in time.
+
+        Such a request leaves no committed change.
+        """
         self.log.event(
             "home_lost",
             request=execution.request_id if execution else "",
@@ -225,7 +238,7 @@
     async def stream_for(
         self, session: SessionView, deadline: float
     ) -> HomeStream | None:
-        """Return a stream to the best home that can be reached, or None."""
+        """Return a stream to the first reachable home, or None to run locally."""
         _, group = resolved(session)
         for member in self.homes.choices(group.group):
             if member.vm == self.homes.rows.own.vm:
@@ -238,7 +251,7 @@
         return None
 
     async def connected_stream(self, member: Member) -> HomeStream | None:
-        """Return a stream to a home, connecting if there is none."""
+        """Return an open stream to a home, connecting if necessary."""
         route = self.routes.setdefault(member.vm, Route())
         stream = self.stream_to(member.vm)
         if stream is not None:
@@ -250,7 +263,7 @@
         return await asyncio.shield(route.opening)
 
     async def open(self, member: Member, route: Route) -> HomeStream | None:
-        """Connect to a home."""
+        """Connect to a home and update its route."""
         try:
             route.stream = await open_stream(
                 member, self.followers, self.notice_dead_peer
