--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/__init__.py
@@ -1,6 +1,6 @@
-"""Callers' sessions over shared connections to fenced database groups.
+"""Relays caller sessions over pooled connections to fenced database groups.
 
-For deployments whose servers enforce the lead themselves and whose declared
-state lies in the platform's store: no term leases, no request records and no
-change log of the proxy's own.
+This package is for deployments whose servers enforce fencing themselves and
+whose declarations are kept in the platform's store. The proxy therefore has no
+term leases, request records or change log of its own.
 """
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
@@ -1,4 +1,4 @@
-"""The side of a home: runs what other proxies forward."""
+"""Home server that runs the requests forwarded by other proxies."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -29,21 +29,21 @@
 from jackdawcrank_policy.sessions import SessionContext
 from jackdawcrank_policy.values.position import Position
 
-# A home that was just chosen reads the servers first: one call.
+# A newly selected home must first read the servers, which takes one call.
 SERVERS_TIMEOUT_SECONDS = 1.0
 
 
 @attrs.define(eq=False)
 class ForwardedSession:
-    """A session on another proxy, as far as one message tells.
+    """A session of another proxy, as described by one message.
 
     Attributes:
-      database: The database that its caller named.
-      spec: The declaration in force there.
-      context: Its session values.
-      last_position: The newest commit that it was told of.
-      read_only: Whether its transaction may not write.
-      group: The group that serves it.
+      database: The database that the caller named.
+      spec: The database declaration in force on the other proxy.
+      context: The session values.
+      last_position: The newest commit position returned to the caller.
+      read_only: Whether the transaction is read-only.
+      group: The database group, or None before the session is resolved.
     """
 
     database: str
@@ -54,10 +54,10 @@
     group: GroupRelay | None = None
 
     def record_position(self, position: Position | None) -> None:
-        """Take in the position of a commit of this session.
+        """Advance the last position of this session.
 
         Args:
-          position: The position; None if the server told none.
+          position: The commit position, or None if the server sent none.
         """
         if position and (
             self.last_position is None or position > self.last_position
@@ -66,10 +66,10 @@
 
 
 def decode_session(fields: Fields) -> ForwardedSession:
-    """Return the session that was sent.
+    """Return a session decoded from message fields.
 
     Args:
-      fields: The encoded session.
+      fields: The fields of the session.
     """
     database, spec, values, position, read_only = fields
     return ForwardedSession(
@@ -82,10 +82,13 @@
 
 
 class HomeConnection(FrameProtocol):
-    """One proxy that forwards to this home.
+    """A connection from a proxy that forwards requests to this home.
 
     Attributes:
-      transactions: Its open transactions by number.
+      home: The server that accepted the connection.
+      transactions: The open transactions of the proxy with their sessions, by
+        transaction number.
+      tasks: The requests in progress.
     """
 
     def __init__(self, home: "HomeServer") -> None:
@@ -95,13 +98,13 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the connection."""
+        """Register the connection."""
         super().connection_made(transport)
         self.home.notice_dead_peer(transport)
         self.home.connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Roll back what the proxy left behind."""
+        """Roll back the open transactions of the proxy."""
         self.closed = True
         self.home.connections.discard(self)
         self.home.teller.forget(self)
@@ -110,7 +113,7 @@
         self.transactions.clear()
 
     def frame_received(self, body: bytes) -> None:
-        """Take in a message."""
+        """Handle a message; abort the connection if it is malformed."""
         try:
             number, kind, fields = unpack(body)
         except ValueError as error:
@@ -127,13 +130,13 @@
             self.begin(self.serve(number, kind, fields))
 
     def begin(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a piece of work beside others."""
+        """Run a coroutine in a task of its own."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def serve(self, number: int, kind: Kind, fields: Fields) -> None:
-        """Run a request and answer it."""
+        """Run a request and send the answer."""
         handlers = {
             Kind.RUN: self.run,
             Kind.BEGIN: self.open,
@@ -143,14 +146,15 @@
         try:
             await handlers[kind](number, fields)
         except (KeyError, IndexError, TypeError, ValueError) as error:
-            # A peer of another version; what it left open is rolled back.
+            # The peer runs another version. Closing the connection rolls back
+            # its open transactions.
             self.home.log.event("peer_message_unreadable", detail=repr(error))
             self.abort()
 
     def answer(
         self, number: int, session: ForwardedSession | None, reply: Reply
     ) -> None:
-        """Send an answer."""
+        """Send the answer to a request."""
         last_position = session.last_position if session else None
         self.send(
             pack(
@@ -172,7 +176,7 @@
         self.answer(number, session, reply)
 
     async def open(self, number: int, fields: Fields) -> None:
-        """Open a transaction; its number is that of the request."""
+        """Open a transaction numbered like its request."""
         session = decode_session(fields[0])
         if not await self.home.resolve(session):
             self.answer(number, session, unknown_group_reply())
@@ -189,7 +193,7 @@
             self.answer(number, session, Reply())
 
     async def run_in_transaction(self, number: int, fields: Fields) -> None:
-        """Run a statement of an open transaction."""
+        """Run a statement in an open transaction."""
         found = self.transactions.get(fields[0])
         execution = decode_execution(fields[1])
         if found is None or execution is None:
@@ -212,24 +216,32 @@
 
 
 def unknown_group_reply() -> Reply:
-    """Return that this home does not know the group's servers."""
-    return Reply(problem=Problem.BUSY, detail="the group is not known here")
+    """Return the reply for a group whose servers this home does not know."""
+    return Reply(
+        problem=Problem.BUSY, detail="the home does not know the group"
+    )
 
 
 def transaction_ended_reply() -> Reply:
-    """Return that a transaction is not open here."""
-    detail = "the transaction is not open any more"
+    """Return the reply for a transaction that is not open on this home."""
+    detail = "the transaction is no longer open"
     return Reply(problem=Problem.ROLLED_BACK, detail=detail)
 
 
 class HomeServer:
-    """Listens for other proxies.
+    """Accepts connections from other proxies.
 
     Attributes:
-      runner: Runs what they forward.
-      directory: Knows the groups.
-      connections: The proxies that are connected.
-      teller: Tells them what the store's tables hold.
+      host: The address to listen on.
+      port: The port to listen on.
+      runner: Runs the forwarded statements.
+      directory: Looks up database groups.
+      log: Records malformed messages.
+      notice_dead_peer: Sets the socket options that detect a dead peer.
+      teller: Sends changes of the store's tables to subscribed proxies.
+      connections: The open connections.
+      forwarding_seen: Set when a proxy has forwarded a request to this home.
+      server: The listening server, or None before the start.
     """
 
     def __init__(
@@ -254,7 +266,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start to listen."""
         self.server = await asyncio.get_running_loop().create_server(
             lambda: HomeConnection(self),
             self.host,
@@ -263,23 +275,23 @@
         )
 
     async def close(self) -> None:
-        """Stop listening and end every stream."""
+        """Stop listening and close every connection."""
         if self.server:
             self.server.close()
         for connection in list(self.connections):
             connection.abort()
 
     def leave(self) -> None:
-        """Tell the proxies to choose other homes for new work."""
+        """Ask the connected proxies to use other homes for new requests."""
         for connection in self.connections:
             connection.send(pack(0, Kind.LEAVING))
 
     def busy(self) -> bool:
-        """Return whether anything of another proxy is under way."""
+        """Return whether a request or transaction of a proxy is open."""
         return any(one.tasks or one.transactions for one in self.connections)
 
     async def resolve(self, session: ForwardedSession) -> bool:
-        """Find a session's group; return whether it can be served."""
+        """Set the group of a session; return whether the group is known."""
         self.forwarding_seen.set()
         if not self.directory.servers_known:
             try:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
@@ -1,4 +1,4 @@
-"""The side of a proxy that forwards to a home."""
+"""Streams on which a proxy forwards requests to a home."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Mapping
@@ -21,20 +21,20 @@
 from jackdawcrank_policy.homes import Member
 from jackdawcrank_policy.values.position import Position
 
-# A round trip in a region takes 3 ms; a home that does not answer the opening
-# packet in this time is passed over.
+# A home that does not accept the connection in this time is skipped. A round
+# trip within a region takes 3 ms.
 HOME_CONNECT_TIMEOUT_SECONDS = 0.4
-# Beyond a statement's own time, for the way to the home and back.
+# Added to the statement timeout for the network round trip to the home.
 HOME_MARGIN_SECONDS = 0.2
 
 
 @attrs.frozen
 class HomeAnswer:
-    """What a home answered.
+    """The answer of a home to a request.
 
     Attributes:
       reply: The reply for the caller.
-      last_position: The newest commit that the session was told of.
+      last_position: The newest commit position of the session, or None.
     """
 
     reply: Reply
@@ -43,10 +43,10 @@
 
 @attrs.frozen
 class HomeLost:
-    """The home did not answer.
+    """The result of a request that the home did not answer.
 
     Attributes:
-      sent: Whether the request may have reached it.
+      sent: Whether the request may have reached the home.
     """
 
     sent: bool
@@ -55,12 +55,17 @@
 class HomeStream(FrameProtocol):
     """A stream to one home.
 
+    Times are in seconds on the event loop's clock.
+
     Attributes:
-      followers: What takes in the tables that it tells.
-      leaving: Whether the home asked for no new work.
-      subscribed: The tables that it was asked to tell.
-      subscribed_at: When it was last asked for one more.
-      confirmed_at: When it last vouched for each table.
+      followers: The followers that apply received table updates, by table.
+      notice_dead_peer: Sets the socket options that detect a dead peer.
+      leaving: Whether the home has asked for no new requests.
+      subscribed: The tables to which this proxy is subscribed.
+      subscribed_at: When the last subscription was sent.
+      confirmed_at: When the home last confirmed its revision of each table.
+      last_number: The number of the last request.
+      pending: The unanswered requests, by number.
     """
 
     def __init__(
@@ -80,15 +85,15 @@
         self.loop = asyncio.get_running_loop()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the connection."""
+        """Store the transport and set its socket options."""
         super().connection_made(transport)
         self.notice_dead_peer(transport)
 
     def subscribe(self, tables: Iterable[str]) -> None:
-        """Ask to be told tables, unless that was asked before.
+        """Subscribe to the tables that are not subscribed yet.
 
         Args:
-          tables: The tables.
+          tables: The names of the tables.
         """
         new_tables = set(tables) - self.subscribed
         if new_tables:
@@ -97,17 +102,17 @@
             self.send(pack(0, Kind.FOLLOW, *sorted(new_tables)))
 
     def has_confirmed(self, table: str, seconds: float) -> bool:
-        """Return whether it has vouched for a table lately.
+        """Return whether the home has recently confirmed a table.
 
         Args:
-          table: The table.
-          seconds: How long ago it may have been.
+          table: The name of the table.
+          seconds: The maximum age of the confirmation.
         """
         oldest = self.loop.time() - seconds
         return not self.closed and self.confirmed_at.get(table, oldest) > oldest
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail what is waited for."""
+        """Cancel the pending requests."""
         self.closed = True
         for future in self.pending.values():
             if not future.done():
@@ -115,7 +120,7 @@
         self.pending.clear()
 
     def frame_received(self, body: bytes) -> None:
-        """Take in a message."""
+        """Handle a message; abort the connection if it is malformed."""
         try:
             number, kind, fields = unpack(body)
             if kind is Kind.ANSWER:
@@ -130,11 +135,20 @@
             elif kind is Kind.LEAVING:
                 self.leaving = True
         except (ValueError, TypeError, KeyError, AttributeError):
-            # A peer of another version; its answers cannot be trusted.
+            # The peer runs another version, so its answers are unreliable.
             self.abort()
 
     def record_changes(self, table: str, after: int, fields: Fields) -> None:
-        """Take in changes of a table."""
+        """Apply changes of a table.
+
+        The table is read again if the changes do not follow the revision that
+        is known.
+
+        Args:
+          table: The name of the table.
+          after: The revision that the changes follow.
+          fields: The encoded changes.
+        """
         follower = self.followers[table]
         known = follower.revision
         if known is not None and after <= known:
@@ -143,13 +157,17 @@
             follower.must_read = True
 
     def record_confirmation(self, revisions: dict[str, int]) -> None:
-        """Take in up to which revision the home knows tables."""
+        """Record that the home confirmed its revisions of tables.
+
+        Args:
+          revisions: The revision that the home knows, by table.
+        """
         for table, revision in revisions.items():
             self.followers[table].take_revision(revision)
             self.confirmed_at[table] = self.loop.time()
 
     def resolve_reply(self, number: int, fields: Fields) -> None:
-        """Hand an answer to whoever waits."""
+        """Complete the pending request with the home's answer."""
         future = self.pending.pop(number, None)
         if future is not None and not future.done():
             reply, last_position = fields
@@ -158,19 +176,21 @@
             )
 
     def next_number(self) -> int:
-        """Return the number of the next request."""
+        """Return a new request number."""
         self.last_number += 1
         return self.last_number
 
     async def call(
         self, number: int, body: bytes, timeout_seconds: float
     ) -> HomeAnswer | HomeLost:
-        """Send a request and return its answer.
+        """Send a request and wait for the answer.
+
+        Aborts the connection if the home does not answer in time.
 
         Args:
-          number: The request's number.
-          body: The request.
-          timeout_seconds: The longest wait.
+          number: The request number.
+          body: The encoded request.
+          timeout_seconds: The longest wait, in seconds.
         """
         if self.closed:
             return HomeLost(sent=False)
@@ -182,7 +202,8 @@
             return future.result()
         self.pending.pop(number, None)
         if not done:
-            # Silent: nothing says that later requests fare better.
+            # A home that did not answer this request may not answer later
+            # ones either.
             self.abort()
         return HomeLost(sent=True)
 
@@ -192,12 +213,12 @@
     followers: Mapping[str, TableFollower],
     notice_dead_peer: Callable[[asyncio.BaseTransport], None],
 ) -> HomeStream | None:
-    """Connect to a home; None if it cannot be reached.
+    """Return a stream to a home, or None if it cannot be reached.
 
     Args:
       member: The home.
-      followers: What takes in the tables that the home tells.
-      notice_dead_peer: Sets the connection's options.
+      followers: The followers that apply received table updates, by table.
+      notice_dead_peer: Sets the socket options that detect a dead peer.
     """
     loop = asyncio.get_running_loop()
     try:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -1,4 +1,4 @@
-"""A transaction on its own server connection."""
+"""Transactions on a dedicated server connection."""
 
 import asyncio
 import typing
@@ -22,26 +22,30 @@
 if typing.TYPE_CHECKING:
     from jackdawcrank.relay.group_relay import GroupRelay
 
-# A rollback needs no slot; a server that does not answer it is silent.
+# A rollback does not wait for a slot on the server, so a server that exceeds
+# this time is treated as unresponsive.
 ROLLBACK_TIMEOUT_SECONDS = 1.0
 
 
 @attrs.frozen
 class NotSent:
-    """No server has seen the statement."""
+    """The result of a statement that was not sent to the server."""
 
 
 class OpenTransaction:
-    """Keeps a connection for a transaction until it ends.
+    """Holds a connection for a transaction until the transaction ends.
 
     Attributes:
-      group: The group that it runs on.
-      lane: The connections that the link belongs to.
+      group: The database group.
+      lane: The connection pool that the link belongs to.
       link: The connection.
-      on_primary: Whether the server must lead for a statement to succeed.
-      wrote: Whether a write was sent.
-      running: Whether a statement was sent and not answered yet.
-      ended: Whether the link was given back.
+      on_primary: Whether the server must be the primary for a statement to
+        succeed.
+      timeout_seconds: The timeout of a statement.
+      wrote: Whether a write was started.
+      running: Whether a statement is in flight.
+      ended: Whether the link was released or discarded, or is being rolled
+        back.
     """
 
     def __init__(
@@ -63,10 +67,10 @@
         self.loop = asyncio.get_running_loop()
 
     async def run(self, session: SessionView, execution: Execution) -> Reply:
-        """Run a statement of the transaction.
+        """Run a statement in the transaction.
 
         Args:
-          session: Whose transaction it is.
+          session: The session that owns the transaction.
           execution: The statement.
         """
         if self.ended:
@@ -96,13 +100,17 @@
     async def send(
         self, commands: list[Command], deadline: float
     ) -> Reply | NotSent | None:
-        """Send commands; repeat the last while the server is full.
+        """Send commands and retry the last one while the server is full.
 
-        A full server did not run it and keeps the transaction open.
+        A full server refuses the command without running it and keeps the
+        transaction open.
 
         Args:
           commands: The commands.
-          deadline: When to give up, in seconds on the loop's clock.
+          deadline: When to give up, in seconds on the event loop's clock.
+
+        Returns:
+          The last reply, `NotSent`, or None if the server did not answer.
         """
         refusals = 0
         while True:
@@ -123,11 +131,12 @@
     async def send_once(
         self, commands: list[Command], deadline: float
     ) -> Reply | NotSent | None:
-        """Send commands when it is their turn; return the last reply."""
+        """Send commands once they are admitted; return the last reply."""
         if not await self.lane.resume(self.link, deadline):
             return NotSent()
         if self.ended:
-            # Rolled back meanwhile; it must not run by itself.
+            # The transaction was rolled back while the statement waited.
+            # The statement would now run outside a transaction.
             return NotSent()
         self.running = True
         try:
@@ -138,7 +147,7 @@
             self.lane.rest(self.link)
 
     def answered(self, sent_at: float, start: float, reply: Reply) -> None:
-        """Take in a server's answer."""
+        """Update the state of the server and the group from a reply."""
         condition = self.lane.condition
         condition.position_seen(reply.position)
         if reply.problem is Problem.NOT_PRIMARY:
@@ -146,14 +155,14 @@
         elif reply.problem is None:
             condition.answered(self.loop.time() - start, self.loop.time())
             if self.on_primary:
-                # The server refuses every statement of such a transaction
-                # once it has lost the lead.
+                # A server that is no longer the primary refuses every
+                # statement of such a transaction.
                 if reply.position:
                     self.group.watermarks.add(sent_at, reply.position)
                 self.group.doubt.answered()
 
     def not_sent(self, request_id: str, start: float) -> Reply:
-        """Roll back, since a statement's turn did not come."""
+        """Roll back because a statement was not admitted in time."""
         self.roll_back()
         self.group.log.event(
             "transaction_statement",
@@ -169,7 +178,10 @@
         )
 
     def lost(self, request_id: str, start: float) -> Reply:
-        """Give up a statement without an answer; nothing was committed."""
+        """Close the connection of an unanswered statement.
+
+        The transaction was not committed.
+        """
         self.note_lost("transaction_lost", request_id, start)
         self.drop()
         return Reply(
@@ -178,11 +190,11 @@
         )
 
     async def commit(self, session: SessionView, request_id: str) -> Reply:
-        """Commit, and give the connection back.
+        """Commit and release the connection.
 
         Args:
-          session: Whose transaction it is.
-          request_id: The caller's id of the commit.
+          session: The session that owns the transaction.
+          request_id: The request id of the commit.
         """
         start = self.loop.time()
         sent_at = boot_seconds()
@@ -211,7 +223,7 @@
     def log_commit(
         self, database: str, request_id: str, start: float, reply: Reply
     ) -> None:
-        """Log the answer to a commit."""
+        """Record the reply to a commit in the log and the measurements."""
         log = self.group.log
         seconds = self.loop.time() - start
         outcome = reply.problem.value if reply.problem else "done"
@@ -228,7 +240,10 @@
         )
 
     def commit_lost(self, request_id: str, start: float) -> Reply:
-        """Give up a commit without an answer."""
+        """Return the reply to a commit that the server did not answer.
+
+        It is in doubt if the transaction wrote.
+        """
         if not self.wrote:
             return self.lost(request_id, start)
         self.note_lost("commit_in_doubt", request_id, start, wrote=True)
@@ -245,7 +260,7 @@
         start: float,
         wrote: bool = False,
     ) -> None:
-        """Take in and log that an answer did not come."""
+        """Report an unanswered command to the group and log it."""
         silent = not self.link.closed
         self.group.note_lost(self.lane, silent, start, wrote)
         self.group.log.event(
@@ -258,7 +273,10 @@
         )
 
     def roll_back(self) -> None:
-        """Roll back, and give the connection back once that is done."""
+        """Roll back and release the connection after the reply.
+
+        Closes the connection instead if a statement is in flight.
+        """
         if self.ended:
             return
         if self.link.closed or self.running:
@@ -270,13 +288,13 @@
         )
 
     def release(self) -> None:
-        """Give the connection back."""
+        """Return the connection to the pool."""
         if not self.ended:
             self.ended = True
             self.lane.release(self.link)
 
     def drop(self) -> None:
-        """Close the connection; the server rolls back what is open."""
+        """Close the connection; the server rolls back the transaction."""
         if not self.ended:
             self.ended = True
             self.lane.discard(self.link)
@@ -285,10 +303,13 @@
 def release_after(
     lane: ServerLane, link: ServerLink, future: asyncio.Future[Reply]
 ) -> None:
-    """Give a connection back when its last command is answered.
+    """Return a connection to its pool after its last command is answered.
+
+    The connection is closed if there is no reply within
+    `ROLLBACK_TIMEOUT_SECONDS`.
 
     Args:
-      lane: The connections that it belongs to.
+      lane: The connection pool that the link belongs to.
       link: The connection.
       future: The reply to the last command.
     """
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy process that relays sessions to fenced groups."""
+"""Proxy process that relays caller sessions to fenced database groups."""
 
 import asyncio
 import os
@@ -36,28 +36,44 @@
 from jackdawcrank.timer import TimerService
 from jackdawcrank_policy.homes import Member
 
-# Callers give up on connecting after 2 s.
+# Callers time out on connecting after 2 s.
 FIRST_CONFIGURATION_TIMEOUT_SECONDS = 1.8
-# A wait for declarations, so that a connection that fell silent is noticed
-# within the bound of a configuration (3 s at least).
+# Share of the time in which a configuration must be in force (3 s or more).
+# A wait for declarations ends within it, so that a dead connection is noticed
+# in time.
 DECLARATIONS_WAIT_SHARE = 0.9
-# Leaving servers may be given work for 7 s or more.
+# Share of the time in which a draining server may still receive statements
+# (7 s or more). A wait for server rows ends within it.
 SERVERS_WAIT_SHARE = 0.75
-# The store keeps 20 s of changes on the users' sites.
+# Shorter than the 20 s of changes that the store keeps on users' sites.
 MEMBERS_WAIT_SECONDS = 15.0
-# VMs that start together have found each other by then; below the time in
-# which a started process must know a configuration (3 s and more).
+# VMs that start together have found each other by this time. It is shorter
+# than the time in which a started process must know a configuration (3 s or
+# more).
 STARTUP_SETTLE_SECONDS = 2.5
 
 
 class RelayProxy:
-    """Owns the parts of the process.
+    """Creates, starts and closes the components of a proxy process.
 
     Attributes:
-      settings: The process's settings.
-      directory: Declarations, groups and servers.
+      settings: The settings of the process.
+      log: The decision log.
       front: Accepts callers.
-      leaving: Ends the process in order.
+      timer: Runs periodic checks.
+      contact: Tracks whether the store answers.
+      members: The VMs that are known from the store.
+      homes: Selects the homes of a database group.
+      directory: The declarations, groups and servers.
+      followers: The followers of the store's tables, by table.
+      router: Runs statements on homes or locally.
+      teller: Sends changes of the store's tables to subscribed proxies.
+      contacts: Subscribes to the tables of other proxies.
+      home_server: Runs the requests forwarded by other proxies.
+      succession: Watches the primaries of all groups.
+      lane_care: Maintains idle server connections.
+      idle_transactions: Ends transactions that are idle for too long.
+      leaving: Shuts the process down gracefully.
     """
 
     def __init__(
@@ -147,8 +163,8 @@
             notice_dead_peer,
             self.teller,
         )
-        # A restarted process must not take its predecessor's claim for its
-        # own.
+        # Unique per process, so that a restarted process does not treat the
+        # claim of its predecessor on this VM as its own.
         process = f"{settings.vm}-{os.getpid()}-{rng.getrandbits(32):08x}"
         self.succession = SuccessionService(
             self.directory,
@@ -166,7 +182,7 @@
         )
 
     def is_home(self) -> bool:
-        """Return whether this proxy is a home of any group."""
+        """Return whether this proxy is a home of at least one group."""
         declarations = self.directory.declarations
         if declarations is None:
             return False
@@ -175,11 +191,11 @@
         )
 
     def needs_servers(self) -> bool:
-        """Return whether statements may be run from here."""
+        """Return whether this proxy may have to run statements on servers."""
         return self.home_server.forwarding_seen.is_set() or self.is_home()
 
     async def start(self) -> None:
-        """Begin to follow the store and to accept callers."""
+        """Start following the store and accepting callers."""
         self.log.event("started", data_center=self.settings.data_center)
         await self.timer.start()
         await self.log.start(self.timer)
@@ -195,13 +211,14 @@
         await self.succession.start(self.timer)
 
     async def open_session(self, database: str) -> CallerSession | None:
-        """Return a session; None if the database is not declared.
+        """Return a new session, or None if the database is not declared.
 
         Args:
-          database: What the caller named.
+          database: The name of the database that the caller sent.
 
         Raises:
-          TimeoutError: The declarations have not been read yet.
+          TimeoutError: The declarations, or on a home the servers, were not
+            read in time.
         """
         async with asyncio.timeout(FIRST_CONFIGURATION_TIMEOUT_SECONDS):
             await self.directory.ready.wait()
@@ -212,7 +229,7 @@
         return CallerSession(database, self.directory, self.router)
 
     def readiness(self) -> bool:
-        """Return whether new callers should be sent here."""
+        """Return whether this proxy is ready for new callers."""
         return (
             self.directory.ready.is_set()
             and (self.directory.servers_known or not self.is_home())
@@ -221,12 +238,12 @@
         )
 
     async def stop(self) -> None:
-        """Leave: let what is under way end, then close."""
+        """Shut down gracefully, then close every component."""
         await self.leaving.leave()
         await self.close()
 
     async def close(self) -> None:
-        """Close every part."""
+        """Close every component."""
         await self.succession.close()
         await self.front.close()
         await self.members.close()
@@ -243,10 +260,10 @@
 
 
 def own_member(settings: RelaySettings) -> Member:
-    """Return this VM as others see it.
+    """Return the member entry of this VM.
 
     Args:
-      settings: The process's settings.
+      settings: The settings of the process.
     """
     return Member(
         settings.vm,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_settings.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_settings.py
@@ -1,4 +1,4 @@
-"""What a relaying proxy process needs to know of its surroundings."""
+"""Settings of a relay proxy process."""
 
 import attrs
 
@@ -8,15 +8,17 @@
     """The settings of one process.
 
     Attributes:
-      vm: The VM's name.
-      data_center: Where the VM stands.
+      vm: The name of the VM.
+      data_center: The data centre of the VM.
       regions: The region of each data centre.
-      drain_seconds: How long a leaving server may still be given work.
-      stop_grace_seconds: How long the process has to end after a signal.
-      configuration_seconds: In what time a configuration must be in force.
-      host: This VM's address.
-      peer_port: Where other proxies connect.
-      capacity: Cores that this VM may use.
+      drain_seconds: How long a draining server may still receive statements.
+      stop_grace_seconds: The time from the stop signal until the process must
+        have ended.
+      configuration_seconds: The time within which a changed configuration must
+        be in force.
+      host: The address of this VM.
+      peer_port: The port on which other proxies connect.
+      capacity: The number of CPU cores available to this VM.
     """
 
     vm: str
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/remote_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/remote_transaction.py
@@ -1,4 +1,4 @@
-"""A transaction that runs at a home."""
+"""Transactions that run on a home proxy."""
 
 import asyncio
 
@@ -21,9 +21,11 @@
 
     Attributes:
       stream: The stream to the home.
-      number: The transaction's number there.
-      wrote: Whether a write was sent.
-      ended: Whether it was committed or rolled back.
+      number: The transaction number on the home.
+      timeout_seconds: The longest wait for the home's answer.
+      log: Records lost homes.
+      wrote: Whether a write was started.
+      ended: Whether a commit or rollback was started, or the home was lost.
     """
 
     def __init__(
@@ -44,10 +46,10 @@
         self.loop = asyncio.get_running_loop()
 
     async def run(self, session: SessionView, execution: Execution) -> Reply:
-        """Run a statement of the transaction.
+        """Run a statement in the transaction.
 
         Args:
-          session: Whose transaction it is.
+          session: The session that owns the transaction.
           execution: The statement.
         """
         self.wrote = self.wrote or execution.writes
@@ -68,11 +70,11 @@
         return answer.reply
 
     async def commit(self, session: SessionView, request_id: str) -> Reply:
-        """Commit.
+        """Commit on the home.
 
         Args:
-          session: Whose transaction it is.
-          request_id: The caller's id of the commit.
+          session: The session that owns the transaction.
+          request_id: The request id of the commit.
         """
         self.ended = True
         number = self.stream.next_number()
@@ -93,7 +95,10 @@
         )
 
     def lost(self, session: SessionView, request_id: str) -> Reply:
-        """Return that nothing was committed, since the commit was not sent."""
+        """Return the rollback reply after the home was lost.
+
+        Nothing was committed: no commit was sent, or nothing was written.
+        """
         self.ended = True
         self.log_home_lost(session, request_id, Problem.ROLLED_BACK)
         return Reply(
@@ -104,7 +109,7 @@
     def log_home_lost(
         self, session: SessionView, request_id: str, outcome: Problem
     ) -> None:
-        """Log that the home was lost."""
+        """Log that the home did not answer."""
         self.log.event(
             "home_lost",
             request=request_id,
@@ -113,7 +118,7 @@
         )
 
     def roll_back(self) -> None:
-        """Roll back."""
+        """Ask the home to roll back, unless the transaction has ended."""
         if not self.ended:
             self.ended = True
             self.stream.send(pack(0, Kind.UNDO, self.number))
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/session_view.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/session_view.py
@@ -1,4 +1,4 @@
-"""What running a statement needs to know of its session."""
+"""The interface of a session to the code that runs its statements."""
 
 import typing
 
@@ -11,15 +11,15 @@
 
 
 class SessionView(typing.Protocol):
-    """A caller's session, here or on another proxy.
+    """A caller's session on this proxy or on another one.
 
     Attributes:
-      database: The database that it named.
-      context: Its session values and prepared names.
-      last_position: The newest commit that it was told of.
-      read_only: Whether its transaction may not write.
-      spec: The database's declaration.
-      group: The group that serves it.
+      database: The database that the caller named.
+      context: Session values and prepared statements.
+      last_position: The newest commit position returned to the caller.
+      read_only: Whether the open transaction is read-only.
+      spec: The declaration of the database, or None if it is not resolved.
+      group: The database group, or None if it is not resolved.
     """
 
     database: str
@@ -30,8 +30,8 @@
     group: "GroupRelay | None"
 
     def record_position(self, position: Position | None) -> None:
-        """Take in the position of a commit of this session.
+        """Advance the last position of this session.
 
         Args:
-          position: The position; None if the server told none.
+          position: The commit position, or None if the server sent none.
         """
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/transaction_view.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/transaction_view.py
@@ -1,4 +1,4 @@
-"""The interface of an open transaction."""
+"""The interfaces of open transactions and of statement runners."""
 
 import typing
 
@@ -8,30 +8,30 @@
 
 
 class Transaction(typing.Protocol):
-    """A transaction on a server connection, here or at a home."""
+    """An open transaction, run by this proxy or by a home."""
 
     async def run(self, session: SessionView, execution: Execution) -> Reply:
-        """Run a statement of the transaction.
+        """Run a statement in the transaction.
 
         Args:
-          session: Whose transaction it is.
+          session: The session that owns the transaction.
           execution: The statement.
         """
 
     async def commit(self, session: SessionView, request_id: str) -> Reply:
-        """Commit, and give the connection back.
+        """Commit and release the connection.
 
         Args:
-          session: Whose transaction it is.
-          request_id: The caller's id of the commit.
+          session: The session that owns the transaction.
+          request_id: The request id of the commit.
         """
 
     def roll_back(self) -> None:
-        """Roll back, and give the connection back once that is done."""
+        """Roll back and release the connection after the reply."""
 
 
 class Runner(typing.Protocol):
-    """Runs statements, here or at a home."""
+    """Runs statements on this proxy or on a home."""
 
     async def run_single(
         self, session: SessionView, execution: Execution
@@ -39,16 +39,19 @@
         """Run a statement outside a transaction.
 
         Args:
-          session: Whose it is; its database is resolved.
+          session: The caller's session; its database must be resolved.
           execution: The statement.
         """
 
     async def begin(
         self, session: SessionView, execution: Execution | None
     ) -> Transaction | Reply:
-        """Open a transaction on the server that fits it.
+        """Open a transaction on a suitable server.
 
         Args:
-          session: Whose it is; its database is resolved.
-          execution: Its first statement, if there is one.
+          session: The caller's session; its database must be resolved.
+          execution: The first statement, or None.
+
+        Returns:
+          The open transaction, or the error reply.
         """
--- a/packages/jackdawcrank-proxy/tests/relay/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/relay/conftest.py
@@ -1,4 +1,4 @@
-"""Servers that tests answer for."""
+"""Fake server connections whose replies are set by the tests."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -18,10 +18,10 @@
 
 @attrs.define(eq=False)
 class FakeLink:
-    """A connection whose replies the test sets.
+    """A connection whose replies are set by the test.
 
     Attributes:
-      sent: The commands so far, each with its reply to come.
+      sent: The commands sent so far, each with the future of its reply.
     """
 
     context: ConnectionContext = attrs.Factory(ConnectionContext)
@@ -48,11 +48,11 @@
 
 @attrs.define(eq=False)
 class FakeOpener:
-    """Opens connections when the test says so.
+    """Opens connections when the test completes the attempt.
 
     Attributes:
-      pending_opens: Openings under way.
-      opened: Connections that were opened.
+      pending_opens: The connection attempts in progress.
+      opened: The connections that were opened.
     """
 
     pending_opens: list[asyncio.Future[FakeLink | NotOpened]] = attrs.Factory(
@@ -76,7 +76,7 @@
 
 
 async def run_ready_tasks() -> None:
-    """Let every task run as far as it can."""
+    """Run 20 iterations of the event loop so that ready tasks proceed."""
     for _ in range(20):
         await asyncio.sleep(0)
 
--- a/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
@@ -48,7 +48,7 @@
     link = FakeLink(state=SessionState.IN_TRANSACTION)
     lane.count = 1
     lane.lend(link)
-    # The server has all that it can take.
+    # The server is at its limit, so a statement has to wait.
     lane.gate.under_way = 2
     return OpenTransaction(
         typing.cast(GroupRelay, group), lane, link, True, 0.05
@@ -61,7 +61,7 @@
     reply = await transaction.run(SESSION, Execution("r1", True, "WRITE a b"))
     assert reply.problem is Problem.ROLLED_BACK
     assert is_rolled_back(transaction)
-    # A full server is no evidence against it.
+    # A full server must not be reported as unresponsive.
     assert group.lost == 0
 
 
