--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/caller_session.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/caller_session.py
@@ -27,8 +27,8 @@
 from jackdawcrank_policy.values.position import Position
 
 # Bound the memory that a faulty caller can use in this process.
-MAX_VALUES = 256
-MAX_STATEMENTS = 1_024
+MAX_SESSION_VALUES = 256
+MAX_SESSION_STATEMENTS = 1_024
 
 
 @attrs.define(eq=False)
@@ -284,7 +284,10 @@
     statement: DefineName, session: CallerSession, request_id: str
 ) -> Reply:
     statements = session.context.statements
-    if len(statements) >= MAX_STATEMENTS and statement.name not in statements:
+    if (
+        len(statements) >= MAX_SESSION_STATEMENTS
+        and statement.name not in statements
+    ):
         return session.refuse(Problem.BUSY, "too many prepared statements")
     statements[statement.name] = PreparedStatement(
         statement.writes, statement.shape
@@ -308,7 +311,7 @@
     statement: AssignValue, session: CallerSession, request_id: str
 ) -> Reply:
     values = session.context.values
-    if len(values) >= MAX_VALUES and statement.name not in values:
+    if len(values) >= MAX_SESSION_VALUES and statement.name not in values:
         return session.refuse(Problem.BUSY, "too many session values")
     values[statement.name] = statement.value
     return session.done()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
@@ -121,17 +121,17 @@
             self.abort()
             return
         if kind is Kind.FOLLOW:
-            self.home.teller.listen(self, (str(one) for one in fields))
+            self.home.teller.listen(self, (str(table) for table in fields))
         elif kind is Kind.UNDO:
             _, transaction = self.transactions.pop(fields[0], (None, None))
             if transaction is not None:
                 transaction.roll_back()
         else:
-            self.begin(self.serve(number, kind, fields))
+            self.start_task(self.serve(number, kind, fields))
 
-    def begin(self, work: Coroutine[Any, Any, None]) -> None:
+    def start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine in a task of its own."""
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -288,7 +288,10 @@
 
     def busy(self) -> bool:
         """Return whether a request or transaction of a proxy is open."""
-        return any(one.tasks or one.transactions for one in self.connections)
+        return any(
+            connection.tasks or connection.transactions
+            for connection in self.connections
+        )
 
     async def resolve(self, session: ForwardedSession) -> bool:
         """Set the group of a session; return whether the group is known."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -74,7 +74,7 @@
           execution: The statement.
         """
         if self.ended:
-            return self.not_sent(execution.request_id, self.loop.time())
+            return self.not_admitted(execution.request_id, self.loop.time())
         self.wrote = self.wrote or execution.writes
         sent_at = boot_seconds()
         start = self.loop.time()
@@ -82,10 +82,10 @@
         commands.append(forward_command(self.link, execution))
         reply = await self.send(commands, start + self.timeout_seconds)
         if isinstance(reply, NotSent):
-            return self.not_sent(execution.request_id, start)
+            return self.not_admitted(execution.request_id, start)
         if reply is None:
-            return self.lost(execution.request_id, start)
-        self.answered(sent_at, start, reply)
+            return self.statement_unanswered(execution.request_id, start)
+        self.record_reply(sent_at, start, reply)
         if reply.problem is not None:
             self.group.log.event(
                 "transaction_statement",
@@ -146,7 +146,7 @@
             self.running = False
             self.lane.rest(self.link)
 
-    def answered(self, sent_at: float, start: float, reply: Reply) -> None:
+    def record_reply(self, sent_at: float, start: float, reply: Reply) -> None:
         """Update the state of the server and the group from a reply."""
         condition = self.lane.condition
         condition.position_seen(reply.position)
@@ -161,7 +161,7 @@
                     self.group.watermarks.add(sent_at, reply.position)
                 self.group.doubt.answered()
 
-    def not_sent(self, request_id: str, start: float) -> Reply:
+    def not_admitted(self, request_id: str, start: float) -> Reply:
         """Roll back because a statement was not admitted in time."""
         self.roll_back()
         self.group.log.event(
@@ -177,12 +177,12 @@
             detail="the server is full; the transaction is rolled back",
         )
 
-    def lost(self, request_id: str, start: float) -> Reply:
+    def statement_unanswered(self, request_id: str, start: float) -> Reply:
         """Close the connection of an unanswered statement.
 
         The transaction was not committed.
         """
-        self.note_lost("transaction_lost", request_id, start)
+        self.report_unanswered("transaction_lost", request_id, start)
         self.drop()
         return Reply(
             problem=Problem.ROLLED_BACK,
@@ -202,9 +202,9 @@
             [ForwardCommit(request_id)], start + self.timeout_seconds
         )
         if isinstance(reply, NotSent):
-            return self.not_sent(request_id, start)
+            return self.not_admitted(request_id, start)
         if reply is None:
-            return self.commit_lost(request_id, start)
+            return self.commit_unanswered(request_id, start)
         if self.link.state is SessionState.IDLE:
             self.release()
         else:
@@ -239,21 +239,21 @@
             ms=round(seconds * 1000),
         )
 
-    def commit_lost(self, request_id: str, start: float) -> Reply:
+    def commit_unanswered(self, request_id: str, start: float) -> Reply:
         """Return the reply to a commit that the server did not answer.
 
         It is in doubt if the transaction wrote.
         """
         if not self.wrote:
-            return self.lost(request_id, start)
-        self.note_lost("commit_in_doubt", request_id, start, wrote=True)
+            return self.statement_unanswered(request_id, start)
+        self.report_unanswered("commit_in_doubt", request_id, start, wrote=True)
         self.drop()
         return Reply(
             problem=Problem.IN_DOUBT,
             detail="the server did not answer the commit",
         )
 
-    def note_lost(
+    def report_unanswered(
         self,
         event: str,
         request_id: str,
@@ -318,8 +318,8 @@
 
     def finish(done: asyncio.Future[Reply]) -> None:
         timeout.cancel()
-        lost = done.cancelled() or done.exception() is not None
-        if lost:
+        failed = done.cancelled() or done.exception() is not None
+        if failed:
             lane.discard(link)
         else:
             lane.release(link)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -105,8 +105,8 @@
             log,
         )
         self.followers = {
-            one.table: one
-            for one in (
+            follower.table: follower
+            for follower in (
                 TableFollower(
                     store,
                     declaration_format.declarations_table,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/remote_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/remote_transaction.py
@@ -66,7 +66,7 @@
             self.timeout_seconds,
         )
         if isinstance(answer, HomeLost):
-            return self.lost(session, execution.request_id)
+            return self.statement_unanswered(session, execution.request_id)
         return answer.reply
 
     async def commit(self, session: SessionView, request_id: str) -> Reply:
@@ -87,14 +87,16 @@
             session.record_position(answer.last_position)
             return answer.reply
         if not answer.sent or not self.wrote:
-            return self.lost(session, request_id)
+            return self.statement_unanswered(session, request_id)
         self.log_home_lost(session, request_id, Problem.IN_DOUBT)
         return Reply(
             problem=Problem.IN_DOUBT,
             detail="the home did not answer the commit",
         )
 
-    def lost(self, session: SessionView, request_id: str) -> Reply:
+    def statement_unanswered(
+        self, session: SessionView, request_id: str
+    ) -> Reply:
         """Return the rollback reply after the home was lost.
 
         Nothing was committed: no commit was sent, or nothing was written.
