--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
@@ -1,4 +1,4 @@
-"""Sending statements to a home, or running them here."""
+"""Routing of statements to a home proxy or to the local servers."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -29,34 +29,35 @@
 from jackdawcrank.seams.replies import Problem, Reply
 from jackdawcrank_policy.homes import Member
 
-# A home that could not be reached is passed over for this long: the time in
-# which a killed process starts again.
-PASS_OVER_SECONDS = 1.0
+# How long an unreachable home is skipped: the time in which a killed process
+# restarts.
+UNREACHABLE_BACKOFF_SECONDS = 1.0
 
 
 @attrs.define
 class Route:
-    """The way to one home.
+    """Connection state of one home.
 
     Attributes:
-      stream: The stream, while there is one.
-      opening: Connects, while that is under way.
-      not_before: Until when the home is passed over.
+      stream: The last stream opened to the home, or None.
+      opening: The connection attempt in progress, or None.
+      retry_at: When the home may be tried again, in seconds on the event
+        loop's clock.
     """
 
     stream: HomeStream | None = None
     opening: asyncio.Task[HomeStream | None] | None = None
-    not_before: float = 0.0
+    retry_at: float = 0.0
 
 
 @attrs.frozen
-class Forwarded:
-    """A request that a home has answered.
+class ForwardedRequest:
+    """A request that a home answered.
 
     Attributes:
       stream: The stream to the home.
-      number: The request's number on it.
-      answer: What the home answered.
+      number: The request number on the stream.
+      answer: The home's answer.
     """
 
     stream: HomeStream
@@ -65,12 +66,18 @@
 
 
 class HomeRouter:
-    """Runs statements where their group's connections are.
+    """Runs statements on a home of their database group.
+
+    A home pools the backend connections of the group. If this proxy is a home
+    of the group, or no other home can be reached, statements run locally.
 
     Attributes:
-      local: Runs them here.
-      homes: Knows which proxies are homes.
-      routes: The ways to other proxies, by VM.
+      local: Runs statements on this proxy.
+      homes: Selects the homes of a group.
+      log: Records routing events.
+      followers: The followers of the store's tables, by table.
+      notice_dead_peer: Sets the socket options that detect a dead peer.
+      routes: Connection state of the other proxies, by VM.
     """
 
     def __init__(
@@ -90,7 +97,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def close(self) -> None:
-        """End every stream."""
+        """Close every stream and cancel connection attempts."""
         for route in self.routes.values():
             if route.opening:
                 route.opening.cancel()
@@ -101,7 +108,7 @@
         """Return the open stream to a VM, or None.
 
         Args:
-          vm: The VM's name.
+          vm: The name of the VM.
         """
         route = self.routes.get(vm)
         if route is None or route.stream is None or route.stream.closed:
@@ -114,7 +121,7 @@
         """Run a statement outside a transaction.
 
         Args:
-          session: Whose it is; its database is resolved.
+          session: The caller's session; its database must be resolved.
           execution: The statement.
         """
         forwarded = await self.forward(Kind.RUN, session, execution)
@@ -122,17 +129,20 @@
             return await self.local.run_single(session, execution)
         if isinstance(forwarded, Reply):
             return forwarded
-        session.saw(forwarded.answer.seen)
+        session.record_position(forwarded.answer.last_position)
         return forwarded.answer.reply
 
     async def begin(
         self, session: SessionView, execution: Execution | None
     ) -> Transaction | Reply:
-        """Open a transaction on the server that fits it.
+        """Open a transaction on a suitable server.
 
         Args:
-          session: Whose it is; its database is resolved.
-          execution: Its first statement, if there is one.
+          session: The caller's session; its database must be resolved.
+          execution: The first statement, or None.
+
+        Returns:
+          The open transaction, or the error reply.
         """
         forwarded = await self.forward(Kind.BEGIN, session, execution)
         if forwarded is None:
@@ -148,17 +158,17 @@
 
     async def forward(
         self, kind: Kind, session: SessionView, execution: Execution | None
-    ) -> Forwarded | Reply | None:
-        """Have a home run a request.
+    ) -> ForwardedRequest | Reply | None:
+        """Forward a request to a home.
 
         Args:
-          kind: What is asked of it.
-          session: Whose request it is.
-          execution: The statement, if there is one.
+          kind: The kind of the request.
+          session: The caller's session.
+          execution: The statement, or None.
 
         Returns:
-          What a home answered, a problem of the proxy's own, or None if the
-          request is to be run here.
+          The answered request, an error reply of this proxy, or None if the
+          request must run locally.
         """
         spec, group = resolved(session)
         deadline = self.loop.time() + spec.statement_timeout_seconds
@@ -166,19 +176,19 @@
             stream = await self.stream_for(session, deadline)
             if stream is None:
                 return None
-            number, answer = await self.ask(
+            number, answer = await self.call_home(
                 stream, kind, session, execution, deadline
             )
             if isinstance(answer, HomeAnswer):
-                return Forwarded(stream, number, answer)
+                return ForwardedRequest(stream, number, answer)
             writes = execution is not None and execution.writes
             if answer.sent and kind is Kind.RUN and writes:
-                return self.in_doubt(session, execution)
+                return self.in_doubt_reply(session, execution)
             if self.loop.time() >= deadline:
-                return self.too_late(session, execution)
+                return self.timeout_reply(session, execution)
         return None
 
-    async def ask(
+    async def call_home(
         self,
         stream: HomeStream,
         kind: Kind,
@@ -186,7 +196,7 @@
         execution: Execution | None,
         deadline: float,
     ) -> tuple[int, HomeAnswer | HomeLost]:
-        """Forward a statement; return the request's number and the answer."""
+        """Send a request to a home; return its number and the answer."""
         spec, _ = resolved(session)
         number = stream.next_number()
         body = pack(
@@ -198,10 +208,10 @@
         timeout = deadline + HOME_MARGIN_SECONDS - self.loop.time()
         return number, await stream.call(number, body, timeout)
 
-    def in_doubt(
+    def in_doubt_reply(
         self, session: SessionView, execution: Execution | None
     ) -> Reply:
-        """Return that a home took a write with it."""
+        """Return the reply to a write whose home did not answer."""
         self.log.event(
             "home_lost",
             request=execution.request_id if execution else "",
@@ -210,10 +220,13 @@
         )
         return Reply(problem=Problem.IN_DOUBT, detail="the home did not answer")
 
-    def too_late(
+    def timeout_reply(
         self, session: SessionView, execution: Execution | None
     ) -> Reply:
-        """Return that no home answered in time; nothing is kept."""
+        """Return the reply to a request that no home answered in time.
+
+        Such a request leaves no committed change.
+        """
         self.log.event(
             "home_lost",
             request=execution.request_id if execution else "",
@@ -225,32 +238,32 @@
     async def stream_for(
         self, session: SessionView, deadline: float
     ) -> HomeStream | None:
-        """Return a stream to the best home that can be reached, or None."""
+        """Return a stream to the first reachable home, or None to run locally."""
         _, group = resolved(session)
         for member in self.homes.choices(group.group):
             if member.vm == self.homes.rows.own.vm:
                 return None
-            stream = await self.reach(member)
+            stream = await self.connected_stream(member)
             if stream is not None and not stream.leaving:
                 return stream
             if self.loop.time() >= deadline:
                 break
         return None
 
-    async def reach(self, member: Member) -> HomeStream | None:
-        """Return a stream to a home, connecting if there is none."""
+    async def connected_stream(self, member: Member) -> HomeStream | None:
+        """Return an open stream to a home, connecting if necessary."""
         route = self.routes.setdefault(member.vm, Route())
         stream = self.stream_to(member.vm)
         if stream is not None:
             return stream
-        if self.loop.time() < route.not_before:
+        if self.loop.time() < route.retry_at:
             return None
         if route.opening is None:
             route.opening = self.loop.create_task(self.open(member, route))
         return await asyncio.shield(route.opening)
 
     async def open(self, member: Member, route: Route) -> HomeStream | None:
-        """Connect to a home."""
+        """Connect to a home and update its route."""
         try:
             route.stream = await open_stream(
                 member, self.followers, self.notice_dead_peer
@@ -258,6 +271,6 @@
         finally:
             route.opening = None
         if route.stream is None:
-            route.not_before = self.loop.time() + PASS_OVER_SECONDS
+            route.retry_at = self.loop.time() + UNREACHABLE_BACKOFF_SECONDS
             self.log.event("home_unreachable", home=member.vm)
         return route.stream
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
@@ -1,4 +1,4 @@
-"""The side of a proxy that forwards to a home."""
+"""Streams on which a proxy forwards requests to a home."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Mapping
@@ -21,32 +21,32 @@
 from jackdawcrank_policy.homes import Member
 from jackdawcrank_policy.values.position import Position
 
-# A round trip in a region takes 3 ms; a home that does not answer the opening
-# packet in this time is passed over.
-CONNECT_SECONDS = 0.4
-# Beyond a statement's own time, for the way to the home and back.
+# A home that does not accept the connection in this time is skipped. A round
+# trip within a region takes 3 ms.
+HOME_CONNECT_TIMEOUT_SECONDS = 0.4
+# Added to the statement timeout for the network round trip to the home.
 HOME_MARGIN_SECONDS = 0.2
 
 
 @attrs.frozen
 class HomeAnswer:
-    """What a home answered.
+    """The answer of a home to a request.
 
     Attributes:
       reply: The reply for the caller.
-      seen: The newest commit that the session was told of.
+      last_position: The newest commit position of the session, or None.
     """
 
     reply: Reply
-    seen: Position | None
+    last_position: Position | None
 
 
 @attrs.frozen
 class HomeLost:
-    """The home did not answer.
+    """The result of a request that the home did not answer.
 
     Attributes:
-      sent: Whether the request may have reached it.
+      sent: Whether the request may have reached the home.
     """
 
     sent: bool
@@ -55,12 +55,17 @@
 class HomeStream(FrameProtocol):
     """A stream to one home.
 
+    Times are in seconds on the event loop's clock.
+
     Attributes:
-      followers: What takes in the tables that it tells.
-      leaving: Whether the home asked for no new work.
-      asked: The tables that it was asked to tell.
-      asked_at: When it was last asked for one more.
-      vouched_at: When it last vouched for each table.
+      followers: The followers that apply received table updates, by table.
+      notice_dead_peer: Sets the socket options that detect a dead peer.
+      leaving: Whether the home has asked for no new requests.
+      subscribed: The tables to which this proxy is subscribed.
+      subscribed_at: When the last subscription was sent.
+      confirmed_at: When the home last confirmed its revision of each table.
+      last_number: The number of the last request.
+      pending: The unanswered requests, by number.
     """
 
     def __init__(
@@ -72,69 +77,78 @@
         self.followers = followers
         self.notice_dead_peer = notice_dead_peer
         self.leaving = False
-        self.asked: set[str] = set()
-        self.asked_at = 0.0
-        self.vouched_at: dict[str, float] = {}
-        self.numbers = 0
-        self.waiting: dict[int, asyncio.Future[HomeAnswer]] = {}
+        self.subscribed: set[str] = set()
+        self.subscribed_at = 0.0
+        self.confirmed_at: dict[str, float] = {}
+        self.last_number = 0
+        self.pending: dict[int, asyncio.Future[HomeAnswer]] = {}
         self.loop = asyncio.get_running_loop()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the connection."""
+        """Store the transport and set its socket options."""
         super().connection_made(transport)
         self.notice_dead_peer(transport)
 
-    def follow(self, tables: Iterable[str]) -> None:
-        """Ask to be told tables, unless that was asked before.
+    def subscribe(self, tables: Iterable[str]) -> None:
+        """Subscribe to the tables that are not subscribed yet.
 
         Args:
-          tables: The tables.
+          tables: The names of the tables.
         """
-        wanted = set(tables) - self.asked
-        if wanted:
-            self.asked |= wanted
-            self.asked_at = self.loop.time()
-            self.send(pack(0, Kind.FOLLOW, *sorted(wanted)))
+        new_tables = set(tables) - self.subscribed
+        if new_tables:
+            self.subscribed |= new_tables
+            self.subscribed_at = self.loop.time()
+            self.send(pack(0, Kind.FOLLOW, *sorted(new_tables)))
 
-    def vouches(self, table: str, seconds: float) -> bool:
-        """Return whether it has vouched for a table lately.
+    def has_confirmed(self, table: str, seconds: float) -> bool:
+        """Return whether the home has recently confirmed a table.
 
         Args:
-          table: The table.
-          seconds: How long ago it may have been.
+          table: The name of the table.
+          seconds: The maximum age of the confirmation.
         """
         oldest = self.loop.time() - seconds
-        return not self.closed and self.vouched_at.get(table, oldest) > oldest
+        return not self.closed and self.confirmed_at.get(table, oldest) > oldest
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail what is waited for."""
+        """Cancel the pending requests."""
         self.closed = True
-        for future in self.waiting.values():
+        for future in self.pending.values():
             if not future.done():
                 future.cancel()
-        self.waiting.clear()
+        self.pending.clear()
 
     def frame_received(self, body: bytes) -> None:
-        """Take in a message."""
+        """Handle a message; abort the connection if it is malformed."""
         try:
             number, kind, fields = unpack(body)
             if kind is Kind.ANSWER:
-                self.answered(number, fields)
+                self.resolve_reply(number, fields)
             elif kind is Kind.IMAGE:
                 table, image = fields
                 self.followers[table].take_image(decode_image(image))
             elif kind is Kind.CHANGES:
-                self.changes_told(*fields)
+                self.record_changes(*fields)
             elif kind is Kind.ALIVE:
-                self.vouched(*fields)
+                self.record_confirmation(*fields)
             elif kind is Kind.LEAVING:
                 self.leaving = True
         except (ValueError, TypeError, KeyError, AttributeError):
-            # A peer of another version; its answers cannot be trusted.
+            # The peer runs another version, so its answers are unreliable.
             self.abort()
 
-    def changes_told(self, table: str, after: int, fields: Fields) -> None:
-        """Take in changes of a table."""
+    def record_changes(self, table: str, after: int, fields: Fields) -> None:
+        """Apply changes of a table.
+
+        The table is read again if the changes do not follow the revision that
+        is known.
+
+        Args:
+          table: The name of the table.
+          after: The revision that the changes follow.
+          fields: The encoded changes.
+        """
         follower = self.followers[table]
         known = follower.revision
         if known is not None and after <= known:
@@ -142,47 +156,54 @@
         else:
             follower.must_read = True
 
-    def vouched(self, revisions: dict[str, int]) -> None:
-        """Take in up to which revision the home knows tables."""
+    def record_confirmation(self, revisions: dict[str, int]) -> None:
+        """Record that the home confirmed its revisions of tables.
+
+        Args:
+          revisions: The revision that the home knows, by table.
+        """
         for table, revision in revisions.items():
             self.followers[table].take_revision(revision)
-            self.vouched_at[table] = self.loop.time()
+            self.confirmed_at[table] = self.loop.time()
 
-    def answered(self, number: int, fields: Fields) -> None:
-        """Hand an answer to whoever waits."""
-        future = self.waiting.pop(number, None)
+    def resolve_reply(self, number: int, fields: Fields) -> None:
+        """Complete the pending request with the home's answer."""
+        future = self.pending.pop(number, None)
         if future is not None and not future.done():
-            reply, seen = fields
+            reply, last_position = fields
             future.set_result(
-                HomeAnswer(decode_reply(reply), decode_position(seen))
+                HomeAnswer(decode_reply(reply), decode_position(last_position))
             )
 
     def next_number(self) -> int:
-        """Return the number of the next request."""
-        self.numbers += 1
-        return self.numbers
+        """Return a new request number."""
+        self.last_number += 1
+        return self.last_number
 
     async def call(
         self, number: int, body: bytes, timeout_seconds: float
     ) -> HomeAnswer | HomeLost:
-        """Send a request and return its answer.
+        """Send a request and wait for the answer.
+
+        Aborts the connection if the home does not answer in time.
 
         Args:
-          number: The request's number.
-          body: The request.
-          timeout_seconds: The longest wait.
+          number: The request number.
+          body: The encoded request.
+          timeout_seconds: The longest wait, in seconds.
         """
         if self.closed:
             return HomeLost(sent=False)
         future: asyncio.Future[HomeAnswer] = self.loop.create_future()
-        self.waiting[number] = future
+        self.pending[number] = future
         self.send(body)
         done, _ = await asyncio.wait([future], timeout=timeout_seconds)
         if done and not future.cancelled():
             return future.result()
-        self.waiting.pop(number, None)
+        self.pending.pop(number, None)
         if not done:
-            # Silent: nothing says that later requests fare better.
+            # A home that did not answer this request may not answer later
+            # ones either.
             self.abort()
         return HomeLost(sent=True)
 
@@ -192,16 +213,16 @@
     followers: Mapping[str, TableFollower],
     notice_dead_peer: Callable[[asyncio.BaseTransport], None],
 ) -> HomeStream | None:
-    """Connect to a home; None if it cannot be reached.
+    """Return a stream to a home, or None if it cannot be reached.
 
     Args:
       member: The home.
-      followers: What takes in the tables that the home tells.
-      notice_dead_peer: Sets the connection's options.
+      followers: The followers that apply received table updates, by table.
+      notice_dead_peer: Sets the socket options that detect a dead peer.
     """
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout(CONNECT_SECONDS):
+        async with asyncio.timeout(HOME_CONNECT_TIMEOUT_SECONDS):
             _, stream = await loop.create_connection(
                 lambda: HomeStream(followers, notice_dead_peer),
                 member.host,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/remote_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/remote_transaction.py
@@ -1,4 +1,4 @@
-"""A transaction that runs at a home."""
+"""Transactions that run on a home proxy."""
 
 import asyncio
 
@@ -21,9 +21,11 @@
 
     Attributes:
       stream: The stream to the home.
-      number: The transaction's number there.
-      wrote: Whether a write was sent.
-      ended: Whether it was committed or rolled back.
+      number: The transaction number on the home.
+      timeout_seconds: The longest wait for the home's answer.
+      log: Records lost homes.
+      wrote: Whether a write was started.
+      ended: Whether a commit or rollback was started, or the home was lost.
     """
 
     def __init__(
@@ -44,10 +46,10 @@
         self.loop = asyncio.get_running_loop()
 
     async def run(self, session: SessionView, execution: Execution) -> Reply:
-        """Run a statement of the transaction.
+        """Run a statement in the transaction.
 
         Args:
-          session: Whose transaction it is.
+          session: The session that owns the transaction.
           execution: The statement.
         """
         self.wrote = self.wrote or execution.writes
@@ -59,20 +61,20 @@
                 Kind.RUN_IN_TRANSACTION,
                 self.number,
                 encode_execution(execution),
-                session.memory.values,
+                session.context.values,
             ),
             self.timeout_seconds,
         )
         if isinstance(answer, HomeLost):
-            return self.lost(session, execution.request_id)
+            return self.statement_unanswered(session, execution.request_id)
         return answer.reply
 
     async def commit(self, session: SessionView, request_id: str) -> Reply:
-        """Commit.
+        """Commit on the home.
 
         Args:
-          session: Whose transaction it is.
-          request_id: The caller's id of the commit.
+          session: The session that owns the transaction.
+          request_id: The request id of the commit.
         """
         self.ended = True
         number = self.stream.next_number()
@@ -82,29 +84,34 @@
             self.timeout_seconds,
         )
         if isinstance(answer, HomeAnswer):
-            session.saw(answer.seen)
+            session.record_position(answer.last_position)
             return answer.reply
         if not answer.sent or not self.wrote:
-            return self.lost(session, request_id)
-        self.note(session, request_id, Problem.IN_DOUBT)
+            return self.statement_unanswered(session, request_id)
+        self.log_home_lost(session, request_id, Problem.IN_DOUBT)
         return Reply(
             problem=Problem.IN_DOUBT,
             detail="the home did not answer the commit",
         )
 
-    def lost(self, session: SessionView, request_id: str) -> Reply:
-        """Return that nothing was committed, since the commit was not sent."""
+    def statement_unanswered(
+        self, session: SessionView, request_id: str
+    ) -> Reply:
+        """Return the rollback reply after the home was lost.
+
+        Nothing was committed: no commit was sent, or nothing was written.
+        """
         self.ended = True
-        self.note(session, request_id, Problem.ROLLED_BACK)
+        self.log_home_lost(session, request_id, Problem.ROLLED_BACK)
         return Reply(
             problem=Problem.ROLLED_BACK,
             detail="the home did not answer; the transaction is rolled back",
         )
 
-    def note(
+    def log_home_lost(
         self, session: SessionView, request_id: str, outcome: Problem
     ) -> None:
-        """Log that the home was lost."""
+        """Log that the home did not answer."""
         self.log.event(
             "home_lost",
             request=request_id,
@@ -112,8 +119,8 @@
             outcome=outcome.value,
         )
 
-    def undo(self) -> None:
-        """Roll back."""
+    def roll_back(self) -> None:
+        """Ask the home to roll back, unless the transaction has ended."""
         if not self.ended:
             self.ended = True
             self.stream.send(pack(0, Kind.UNDO, self.number))
--- a/packages/jackdawcrank-proxy/tests/relay/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/relay/conftest.py
@@ -1,4 +1,4 @@
-"""Servers that tests answer for."""
+"""Fake server connections whose replies are set by the tests."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -18,13 +18,13 @@
 
 @attrs.define(eq=False)
 class FakeLink:
-    """A connection whose replies the test sets.
+    """A connection whose replies are set by the test.
 
     Attributes:
-      sent: The commands so far, each with its reply to come.
+      sent: The commands sent so far, each with the future of its reply.
     """
 
-    memory: ConnectionContext = attrs.Factory(ConnectionContext)
+    context: ConnectionContext = attrs.Factory(ConnectionContext)
     closed: bool = False
     state: SessionState = SessionState.IDLE
     first_position: Position | None = None
@@ -48,33 +48,35 @@
 
 @attrs.define(eq=False)
 class FakeOpener:
-    """Opens connections when the test says so.
+    """Opens connections when the test completes the attempt.
 
     Attributes:
-      waiting: Openings under way.
-      opened: Connections that were opened.
+      pending_opens: The connection attempts in progress.
+      opened: The connections that were opened.
     """
 
-    waiting: list[asyncio.Future[FakeLink | NotOpened]] = attrs.Factory(list)
+    pending_opens: list[asyncio.Future[FakeLink | NotOpened]] = attrs.Factory(
+        list
+    )
     opened: list[FakeLink] = attrs.Factory(list)
 
     async def open(
         self, server: ListedServer, timeout_seconds: float
     ) -> FakeLink | NotOpened:
         future = asyncio.get_running_loop().create_future()
-        self.waiting.append(future)
+        self.pending_opens.append(future)
         return await future
 
-    async def let_one_open(self) -> FakeLink:
+    async def complete_next_open(self) -> FakeLink:
         link = FakeLink()
         self.opened.append(link)
-        self.waiting.pop(0).set_result(link)
-        await settle()
+        self.pending_opens.pop(0).set_result(link)
+        await run_ready_tasks()
         return link
 
 
-async def settle() -> None:
-    """Let every task run as far as it can."""
+async def run_ready_tasks() -> None:
+    """Run 20 iterations of the event loop so that ready tasks proceed."""
     for _ in range(20):
         await asyncio.sleep(0)
 
