--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/claim_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/claim_rows.py
@@ -5,7 +5,7 @@
 import attrs
 
 from jackdawcrank.decisions import DecisionLog
-from jackdawcrank.relay.store_contact import StoreContact
+from jackdawcrank.relay.store_health import StoreHealth
 from jackdawcrank.seams.metadata_store import (
     MetadataStore,
     RowWritten,
@@ -41,10 +41,10 @@
     """
 
     def __init__(
-        self, store: MetadataStore, contact: StoreContact, log: DecisionLog
+        self, store: MetadataStore, store_health: StoreHealth, log: DecisionLog
     ) -> None:
         self.store = store
-        self.contact = contact
+        self.store_health = store_health
         self.log = log
 
     async def claim(
@@ -60,9 +60,9 @@
         image = await self.store.read_table(CLAIMS_TABLE, group)
         if isinstance(image, StoreFailure):
             self.log.event("claim_failed", group=group, detail=image.detail)
-            self.contact.failed(f"{CLAIMS_TABLE}: {image.detail}")
+            self.store_health.record_failure(f"{CLAIMS_TABLE}: {image.detail}")
             return None
-        self.contact.answered()
+        self.store_health.record_success()
         row = image.rows[0] if image.rows else None
         present = self.read(row) if row else None
         if row and present is None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -5,7 +5,7 @@
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.group_relay import GroupRelay, Whereabouts
 from jackdawcrank.relay.homes import Homes
-from jackdawcrank.relay.store_contact import StoreContact
+from jackdawcrank.relay.store_health import StoreHealth
 from jackdawcrank.seams.declaration_source import DeclarationFormat
 from jackdawcrank.seams.metadata_store import (
     StoredRow,
@@ -41,14 +41,14 @@
         form: DeclarationFormat,
         opener: LinkOpener,
         whereabouts: Whereabouts,
-        contact: StoreContact,
+        store_health: StoreHealth,
         homes: Homes,
         log: DecisionLog,
     ) -> None:
         self.form = form
         self.opener = opener
         self.whereabouts = whereabouts
-        self.contact = contact
+        self.store_health = store_health
         self.homes = homes
         self.log = log
         self.declarations: Declarations | None = None
@@ -186,7 +186,7 @@
                     group,
                     self.opener,
                     self.whereabouts,
-                    self.contact,
+                    self.store_health,
                     self.homes,
                     self.log,
                 )
@@ -202,7 +202,7 @@
 
     def cut_off(self) -> bool:
         """Return whether callers are better served by another proxy."""
-        return self.contact.lost and any(
+        return self.store_health.lost and any(
             group.usable_primary() is None
             for group in self.groups.values()
             if self.homes.is_home(group.group)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/leaving.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/graceful_shutdown.py
@@ -8,15 +8,15 @@
 from jackdawcrank.seams.replies import SessionState
 
 # The balancer looks once a second and takes a VM out after two misses.
-BALANCER_SECONDS = 2.3
+LOAD_BALANCER_SECONDS = 2.3
 # Open transactions have half of the grace to end.
-TRANSACTION_SHARE = 0.5
+TRANSACTION_GRACE_SHARE = 0.5
 # The last moment to roll back and answer before the process is killed.
-RESERVE_SECONDS = 0.8
+ROLLBACK_RESERVE_SECONDS = 0.8
 POLL_SECONDS = 0.05
 
 
-class Leaving:
+class GracefulShutdown:
     """Sends new callers elsewhere, serves on, then lets sessions go.
 
     Attributes:
@@ -39,7 +39,7 @@
         self.log = log
         self.begun = False
 
-    async def leave(self) -> None:
+    async def drain(self) -> None:
         """Return when every session has ended or the grace is used up."""
         self.begun = True
         loop = asyncio.get_running_loop()
@@ -47,10 +47,13 @@
         self.home_server.leave()
         self.log.event("leaving", sessions=len(self.front.sessions()))
         await asyncio.sleep(
-            min(BALANCER_SECONDS, self.grace_seconds * TRANSACTION_SHARE)
+            min(
+                LOAD_BALANCER_SECONDS,
+                self.grace_seconds * TRANSACTION_GRACE_SHARE,
+            )
         )
-        give_up_at = start + self.grace_seconds - RESERVE_SECONDS
-        while loop.time() < give_up_at:
+        deadline = start + self.grace_seconds - ROLLBACK_RESERVE_SECONDS
+        while loop.time() < deadline:
             self.front.close_idle()
             if not self.front.sessions() and not self.home_server.busy():
                 break
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -9,7 +9,7 @@
 from jackdawcrank.relay.homes import Homes
 from jackdawcrank.relay.server_lane import OPEN_TIMEOUT_SECONDS, ServerLane
 from jackdawcrank.relay.server_questions import ServerQuestions
-from jackdawcrank.relay.store_contact import StoreContact
+from jackdawcrank.relay.store_health import StoreHealth
 from jackdawcrank.seams.server_link import LinkOpener, OpenFailure
 from jackdawcrank_policy.catalog import ListedServer, ServedGroup
 from jackdawcrank_policy.floors import WatermarkHistory
@@ -94,7 +94,7 @@
         group: ServedGroup,
         opener: LinkOpener,
         whereabouts: Whereabouts,
-        contact: StoreContact,
+        contact: StoreHealth,
         homes: Homes,
         log: DecisionLog,
     ) -> None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -342,7 +342,7 @@
           server_id: The server.
           frozen: The replicas that wait for the new primary.
         """
-        give_up_at = self.loop.time() + ORDER_SECONDS
+        deadline = self.loop.time() + ORDER_SECONDS
         unanswered = False
         while True:
             answer = await self.authority.promote(
@@ -361,7 +361,7 @@
             if answer is LeadAnswer.REFUSED:
                 # Another holder is in charge, or the server does not run.
                 return Result.UNANSWERED if unanswered else Result.NOTHING_DONE
-            if self.loop.time() >= give_up_at:
+            if self.loop.time() >= deadline:
                 return Result.UNANSWERED if unanswered else Result.NOTHING_DONE
             await asyncio.sleep(2 * POLL_SECONDS)
 
@@ -378,9 +378,9 @@
           server_id: The promoted server.
           frozen: The replicas that wait for it.
         """
-        give_up_at = self.loop.time() + EFFECT_SECONDS
+        deadline = self.loop.time() + EFFECT_SECONDS
         lane = self.group.lanes.get(server_id)
-        while lane is not None and self.loop.time() < give_up_at:
+        while lane is not None and self.loop.time() < deadline:
             if (await self.questions.leads(lane)).leads:
                 self.group.promoted(server_id)
                 await self.thaw([one for one in frozen if one.lane is not lane])
@@ -453,8 +453,8 @@
         self, lanes: list[ServerLane], position: Position
     ) -> str | None:
         """Return the first server that has received a position, or None."""
-        give_up_at = self.loop.time() + CATCH_UP_SECONDS
-        while self.loop.time() < give_up_at:
+        deadline = self.loop.time() + CATCH_UP_SECONDS
+        while self.loop.time() < deadline:
             answers = await self.questions.ask_all(lanes, AskStatus())
             able = [
                 one.lane
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -9,13 +9,13 @@
 from jackdawcrank.relay.caller_session import CallerSession
 from jackdawcrank.relay.claim_rows import ClaimRows
 from jackdawcrank.relay.directory import Directory
+from jackdawcrank.relay.graceful_shutdown import GracefulShutdown
 from jackdawcrank.relay.group_relay import Whereabouts
 from jackdawcrank.relay.home_router import HomeRouter
 from jackdawcrank.relay.home_server import HomeServer
 from jackdawcrank.relay.homes import Homes
 from jackdawcrank.relay.idle_transactions import IdleTransactions
 from jackdawcrank.relay.lane_care import LaneCare
-from jackdawcrank.relay.leaving import Leaving
 from jackdawcrank.relay.member_rows import (
     MEMBERS_TABLE,
     SETTLE_SECONDS,
@@ -23,7 +23,7 @@
 )
 from jackdawcrank.relay.relay_settings import RelaySettings
 from jackdawcrank.relay.statement_runner import StatementRunner
-from jackdawcrank.relay.store_contact import StoreContact
+from jackdawcrank.relay.store_health import StoreHealth
 from jackdawcrank.relay.succession_service import SuccessionService
 from jackdawcrank.relay.table_follower import TableFollower
 from jackdawcrank.relay.table_teller import TableTeller
@@ -76,7 +76,7 @@
         self.log = log
         self.front = front
         self.timer = TimerService()
-        self.contact = StoreContact(log)
+        self.contact = StoreHealth(log)
         own = own_member(settings)
         self.members = MemberRows(store, own, log, rng)
         self.homes = Homes(self.members)
@@ -161,7 +161,7 @@
         )
         self.lane_care = LaneCare(self.directory)
         self.idle_transactions = IdleTransactions(self.directory, front, log)
-        self.leaving = Leaving(
+        self.leaving = GracefulShutdown(
             front, self.home_server, settings.stop_grace_seconds, log
         )
 
@@ -222,7 +222,7 @@
 
     async def stop(self) -> None:
         """Leave: let what is under way end, then close."""
-        await self.leaving.leave()
+        await self.leaving.drain()
         await self.close()
 
     async def close(self) -> None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/store_contact.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/store_health.py
@@ -3,7 +3,7 @@
 from jackdawcrank.decisions import DecisionLog
 
 
-class StoreContact:
+class StoreHealth:
     """The outcome of the latest calls to the store.
 
     Attributes:
@@ -16,14 +16,14 @@
         self.lost = False
         self.failures = 0
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         """Take in a usable answer."""
         if self.lost:
             self.log.event("store_regained", failures=self.failures)
         self.lost = False
         self.failures = 0
 
-    def failed(self, detail: str) -> None:
+    def record_failure(self, detail: str) -> None:
         """Take in a call without one.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from jackdawcrank.decisions import DecisionLog
-from jackdawcrank.relay.store_contact import StoreContact
+from jackdawcrank.relay.store_health import StoreHealth
 from jackdawcrank.seams.metadata_store import (
     HistoryGone,
     MetadataStore,
@@ -78,7 +78,7 @@
         settle_seconds: float,
         on_image: Callable[[TableImage], None],
         on_changes: Callable[[TableChanges], None],
-        contact: StoreContact,
+        store_health: StoreHealth,
         log: DecisionLog,
         rng: random.Random,
         wanted: Callable[[], bool],
@@ -90,7 +90,7 @@
         self.settle_seconds = settle_seconds
         self.on_image = on_image
         self.on_changes = on_changes
-        self.contact = contact
+        self.store_health = store_health
         self.log = log
         self.rng = rng
         self.vouched: Callable[[str], bool] = lambda _table: False
@@ -120,7 +120,7 @@
         """Return whether changes come from the store itself."""
         return (
             self.revision is not None
-            and not self.contact.lost
+            and not self.store_health.lost
             and not self.idle()
         )
 
@@ -136,7 +136,7 @@
             if self.idle():
                 if self.vouched(self.table):
                     # The store is there, or nobody would vouch.
-                    self.contact.answered()
+                    self.store_health.record_success()
                 await asyncio.sleep(UNWANTED_PAUSE_SECONDS)
             elif self.revision is None or self.must_read:
                 await self.read()
@@ -234,12 +234,12 @@
 
     def answered(self) -> None:
         """Take in that the store is there."""
-        self.contact.answered()
+        self.store_health.record_success()
         self.failures = 0
 
     async def failed(self, failure: StoreFailure) -> None:
         """Wait before the next try."""
-        self.contact.failed(f"{self.table}: {failure.detail}")
+        self.store_health.record_failure(f"{self.table}: {failure.detail}")
         pause = backoff_seconds(
             self.failures, self.rng, FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS
         )
--- a/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
@@ -6,7 +6,7 @@
 import pytest
 
 from jackdawcrank.decisions import DecisionLog
-from jackdawcrank.relay.store_contact import StoreContact
+from jackdawcrank.relay.store_health import StoreHealth
 from jackdawcrank.relay.table_follower import TableFollower
 from jackdawcrank.relay.table_teller import TableTeller
 from jackdawcrank.seams.metadata_store import (
@@ -72,7 +72,7 @@
         0.0,
         lambda _image: None,
         lambda _changes: None,
-        StoreContact(log),
+        StoreHealth(log),
         log,
         random.Random(1),
         lambda: True,
