--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
@@ -22,7 +22,7 @@
     unpack,
 )
 from jackdawcrank.relay.statement_runner import StatementRunner
-from jackdawcrank.relay.table_teller import TableTeller
+from jackdawcrank.relay.table_publisher import TablePublisher
 from jackdawcrank.relay.transaction_view import Transaction
 from jackdawcrank.seams.replies import Problem, Reply
 from jackdawcrank_policy.catalog import DatabaseSpec
@@ -104,7 +104,7 @@
         """Roll back what the proxy left behind."""
         self.closed = True
         self.home.connections.discard(self)
-        self.home.teller.forget(self)
+        self.home.teller.unsubscribe(self)
         for _, transaction in self.transactions.values():
             transaction.undo()
         self.transactions.clear()
@@ -118,7 +118,7 @@
             self.abort()
             return
         if kind is Kind.FOLLOW:
-            self.home.teller.listen(self, (str(one) for one in fields))
+            self.home.teller.subscribe(self, (str(one) for one in fields))
         elif kind is Kind.UNDO:
             _, transaction = self.transactions.pop(fields[0], (None, None))
             if transaction is not None:
@@ -237,7 +237,7 @@
         directory: Directory,
         log: DecisionLog,
         notice_dead_peer: Callable[[asyncio.BaseTransport], None],
-        teller: TableTeller,
+        teller: TablePublisher,
     ) -> None:
         self.host = host
         self.port = port
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
@@ -122,7 +122,7 @@
                 self.answered(number, fields)
             elif kind is Kind.IMAGE:
                 table, image = fields
-                self.followers[table].take_image(decode_image(image))
+                self.followers[table].apply_image(decode_image(image))
             elif kind is Kind.CHANGES:
                 self.changes_told(*fields)
             elif kind is Kind.ALIVE:
@@ -138,14 +138,14 @@
         follower = self.followers[table]
         known = follower.revision
         if known is not None and after <= known:
-            follower.take_changes(decode_changes(fields))
+            follower.apply_changes(decode_changes(fields))
         else:
             follower.must_read = True
 
     def vouched(self, revisions: dict[str, int]) -> None:
         """Take in up to which revision the home knows tables."""
         for table, revision in revisions.items():
-            self.followers[table].take_revision(revision)
+            self.followers[table].advance_revision(revision)
             self.vouched_at[table] = self.loop.time()
 
     def answered(self, number: int, fields: Fields) -> None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -26,8 +26,8 @@
 from jackdawcrank.relay.store_health import StoreHealth
 from jackdawcrank.relay.succession_service import SuccessionService
 from jackdawcrank.relay.table_follower import TableFollower
-from jackdawcrank.relay.table_teller import TableTeller
-from jackdawcrank.relay.watch_contacts import WatchContacts
+from jackdawcrank.relay.table_publisher import TablePublisher
+from jackdawcrank.relay.upstream_selector import UpstreamSelector
 from jackdawcrank.seams.caller_front import CallerFront
 from jackdawcrank.seams.declaration_source import DeclarationFormat
 from jackdawcrank.seams.lead_authority import LeadAuthority
@@ -134,8 +134,8 @@
         self.router = HomeRouter(
             runner, self.homes, log, self.followers, notice_dead_peer
         )
-        self.teller = TableTeller(self.followers.values())
-        self.contacts = WatchContacts(
+        self.teller = TablePublisher(self.followers.values())
+        self.contacts = UpstreamSelector(
             self.router, self.members, self.followers.values(), log
         )
         self.home_server = HomeServer(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
@@ -19,26 +19,26 @@
 
 # A store that is back must be noticed well within the bound of a
 # configuration (3 s).
-LONGEST_PAUSE_SECONDS = 0.5
-FIRST_PAUSE_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 0.5
+INITIAL_BACKOFF_SECONDS = 0.1
 # Changes come in groups, as servers start or configurations follow each other;
 # one call then fetches several. A tenth of the bound of a configuration.
 COALESCE_SECONDS = 0.3
 # How soon a table that nobody else vouches for any more is followed here.
-UNWANTED_PAUSE_SECONDS = 0.2
+IDLE_POLL_SECONDS = 0.2
 
 
-class TableNews(typing.Protocol):
+class TableObserver(typing.Protocol):
     """Is told what a follower has learned, to pass it on."""
 
-    def image_known(self, follower: "TableFollower") -> None:
+    def image_applied(self, follower: "TableFollower") -> None:
         """Take in that a table was read anew.
 
         Args:
           follower: Holds its rows.
         """
 
-    def changes_known(
+    def changes_applied(
         self, follower: "TableFollower", after: int, changes: TableChanges
     ) -> None:
         """Take in that a table has changed.
@@ -75,39 +75,39 @@
         store: MetadataStore,
         table: str,
         wait_seconds: float,
-        settle_seconds: float,
+        discovery_seconds: float,
         on_image: Callable[[TableImage], None],
         on_changes: Callable[[TableChanges], None],
         store_health: StoreHealth,
         log: DecisionLog,
         rng: random.Random,
-        wanted: Callable[[], bool],
+        needed: Callable[[], bool],
     ) -> None:
-        self.wanted = wanted
+        self.needed = needed
         self.store = store
         self.table = table
         self.wait_seconds = wait_seconds
-        self.settle_seconds = settle_seconds
+        self.discovery_seconds = discovery_seconds
         self.on_image = on_image
         self.on_changes = on_changes
         self.store_health = store_health
         self.log = log
         self.rng = rng
-        self.vouched: Callable[[str], bool] = lambda _table: False
-        self.news: TableNews | None = None
+        self.has_upstreams: Callable[[str], bool] = lambda _table: False
+        self.observer: TableObserver | None = None
         self.rows: dict[str, StoredRow] = {}
         self.revision: int | None = None
-        self.told_revision = 0
+        self.last_change_revision = 0
         self.must_read = True
         self.store_offset = 0.0
-        self.settled_at = 0.0
+        self.discovery_ends_at = 0.0
         self.failures = 0
         self.loop = asyncio.get_running_loop()
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Begin to follow."""
-        self.settled_at = self.loop.time() + self.settle_seconds
+        self.discovery_ends_at = self.loop.time() + self.discovery_seconds
         self.task = asyncio.create_task(self.run())
 
     async def close(self) -> None:
@@ -126,23 +126,23 @@
 
     def idle(self) -> bool:
         """Return whether following the store would be of no use."""
-        if not self.wanted():
+        if not self.needed():
             return True
-        return not self.must_read and self.vouched(self.table)
+        return not self.must_read and self.has_upstreams(self.table)
 
     async def run(self) -> None:
         """Follow until closed."""
         while True:
             if self.idle():
-                if self.vouched(self.table):
+                if self.has_upstreams(self.table):
                     # The store is there, or nobody would vouch.
                     self.store_health.record_success()
-                await asyncio.sleep(UNWANTED_PAUSE_SECONDS)
+                await asyncio.sleep(IDLE_POLL_SECONDS)
             elif self.revision is None or self.must_read:
                 await self.read()
-            elif self.loop.time() < self.settled_at:
+            elif self.loop.time() < self.discovery_ends_at:
                 # Others may be found in this time that follow it anyway.
-                await asyncio.sleep(UNWANTED_PAUSE_SECONDS)
+                await asyncio.sleep(IDLE_POLL_SECONDS)
             else:
                 await self.follow(self.revision)
 
@@ -153,7 +153,7 @@
             await self.failed(image)
             return
         self.answered()
-        self.take_image(image)
+        self.apply_image(image)
 
     async def follow(self, revision: int) -> None:
         """Wait for the next changes.
@@ -172,11 +172,11 @@
             self.log.event("history_gone", table=self.table, after=revision)
             self.must_read = True
             return
-        self.take_changes(changes)
+        self.apply_changes(changes)
         if changes.rows or changes.removed:
             await asyncio.sleep(COALESCE_SECONDS)
 
-    def take_image(self, image: TableImage) -> None:
+    def apply_image(self, image: TableImage) -> None:
         """Take in the whole table, read here or told by another proxy.
 
         Args:
@@ -187,12 +187,12 @@
             return
         self.store_offset = image.store_seconds - self.loop.time()
         self.rows = {row.key: row for row in image.rows}
-        self.revision = self.told_revision = image.revision
+        self.revision = self.last_change_revision = image.revision
         self.on_image(image)
-        if self.news is not None:
-            self.news.image_known(self)
+        if self.observer is not None:
+            self.observer.image_applied(self)
 
-    def take_changes(self, changes: TableChanges) -> None:
+    def apply_changes(self, changes: TableChanges) -> None:
         """Take in changes, read here or told by another proxy.
 
         Args:
@@ -203,15 +203,18 @@
         self.revision = changes.revision
         if not changes.rows and not changes.removed:
             return
-        after, self.told_revision = self.told_revision, changes.revision
+        after, self.last_change_revision = (
+            self.last_change_revision,
+            changes.revision,
+        )
         for key in changes.removed:
             self.rows.pop(key, None)
         self.rows.update((row.key, row) for row in changes.rows)
         self.on_changes(changes)
-        if self.news is not None:
-            self.news.changes_known(self, after, changes)
+        if self.observer is not None:
+            self.observer.changes_applied(self, after, changes)
 
-    def take_revision(self, revision: int) -> None:
+    def advance_revision(self, revision: int) -> None:
         """Take in that nothing else has changed up to a revision.
 
         Args:
@@ -225,7 +228,9 @@
         if self.revision is None:
             return None
         return TableImage(
-            tuple(self.rows.values()), self.told_revision, self.store_seconds()
+            tuple(self.rows.values()),
+            self.last_change_revision,
+            self.store_seconds(),
         )
 
     def store_seconds(self) -> float:
@@ -241,7 +246,10 @@
         """Wait before the next try."""
         self.store_health.record_failure(f"{self.table}: {failure.detail}")
         pause = backoff_seconds(
-            self.failures, self.rng, FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS
+            self.failures,
+            self.rng,
+            INITIAL_BACKOFF_SECONDS,
+            MAX_BACKOFF_SECONDS,
         )
         self.failures += 1
         await asyncio.sleep(pause)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_teller.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_publisher.py
@@ -16,10 +16,10 @@
 
 # Others notice within a bit more than twice this that nobody vouches any
 # more; a sixth of the shortest bound of a configuration (3 s).
-ALIVE_SECONDS = 0.5
+HEARTBEAT_SECONDS = 0.5
 
 
-class Listener(typing.Protocol):
+class Subscriber(typing.Protocol):
     """The connection of a proxy that wants to be told."""
 
     def send(self, body: bytes) -> None:
@@ -30,7 +30,7 @@
         """
 
 
-class TableTeller:
+class TablePublisher:
     """Passes on every change of the tables, and vouches for what it follows.
 
     What others told is passed on, too, but not vouched for: if those two
@@ -43,10 +43,10 @@
 
     def __init__(self, followers: Iterable[TableFollower]) -> None:
         self.followers = {one.table: one for one in followers}
-        self.listeners: dict[Listener, set[str]] = {}
+        self.subscribers: dict[Subscriber, set[str]] = {}
         self.subscription: Subscription | None = None
         for follower in self.followers.values():
-            follower.news = self
+            follower.observer = self
 
     async def start(self, timer: Timer) -> None:
         """Begin to vouch.
@@ -55,7 +55,7 @@
           timer: Calls back.
         """
         self.subscription = timer.subscribe(
-            "tables", ALIVE_SECONDS, self.vouch_to_all
+            "tables", HEARTBEAT_SECONDS, self.send_heartbeats
         )
 
     async def close(self) -> None:
@@ -63,46 +63,48 @@
         if self.subscription:
             self.subscription.close()
 
-    def listen(self, listener: Listener, tables: Iterable[str]) -> None:
+    def subscribe(self, subscriber: Subscriber, tables: Iterable[str]) -> None:
         """Tell a proxy the tables that it wants, from now on.
 
         Args:
           listener: The proxy's connection.
           tables: The tables.
         """
-        known = self.listeners.setdefault(listener, set())
+        known = self.subscribers.setdefault(subscriber, set())
         for table in sorted(set(tables) & self.followers.keys() - known):
             known.add(table)
-            self.tell_image(listener, self.followers[table])
-        self.vouch(listener, known)
+            self.send_image(subscriber, self.followers[table])
+        self.send_heartbeat(subscriber, known)
 
-    def forget(self, listener: Listener) -> None:
+    def unsubscribe(self, subscriber: Subscriber) -> None:
         """Take in that a proxy's connection has ended.
 
         Args:
           listener: The connection.
         """
-        self.listeners.pop(listener, None)
+        self.subscribers.pop(subscriber, None)
 
-    def tell_image(self, listener: Listener, follower: TableFollower) -> None:
+    def send_image(
+        self, subscriber: Subscriber, follower: TableFollower
+    ) -> None:
         """Send a table as it is known here, if it is."""
         image = follower.image()
         if image is not None:
-            listener.send(
+            subscriber.send(
                 pack(0, Kind.IMAGE, follower.table, encode_image(image))
             )
 
-    def image_known(self, follower: TableFollower) -> None:
+    def image_applied(self, follower: TableFollower) -> None:
         """Take in that a table was read anew.
 
         Args:
           follower: Holds its rows.
         """
-        for listener, tables in self.listeners.items():
+        for subscriber, tables in self.subscribers.items():
             if follower.table in tables:
-                self.tell_image(listener, follower)
+                self.send_image(subscriber, follower)
 
-    def changes_known(
+    def changes_applied(
         self, follower: TableFollower, after: int, changes: TableChanges
     ) -> None:
         """Take in that a table has changed.
@@ -115,20 +117,20 @@
         body = pack(
             0, Kind.CHANGES, follower.table, after, encode_changes(changes)
         )
-        for listener, tables in self.listeners.items():
+        for subscriber, tables in self.subscribers.items():
             if follower.table in tables:
-                listener.send(body)
+                subscriber.send(body)
 
-    async def vouch_to_all(self, _now: float) -> None:
+    async def send_heartbeats(self, _now: float) -> None:
         """Vouch to every listener.
 
         Args:
           _now: The timer's time.
         """
-        for listener, tables in self.listeners.items():
-            self.vouch(listener, tables)
+        for subscriber, tables in self.subscribers.items():
+            self.send_heartbeat(subscriber, tables)
 
-    def vouch(self, listener: Listener, tables: set[str]) -> None:
+    def send_heartbeat(self, subscriber: Subscriber, tables: set[str]) -> None:
         """Tell a proxy up to which revision it knows the tables."""
         revisions = {
             table: self.followers[table].revision
@@ -136,4 +138,4 @@
             if self.followers[table].active()
         }
         if revisions:
-            listener.send(pack(0, Kind.ALIVE, revisions))
+            subscriber.send(pack(0, Kind.ALIVE, revisions))
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/watch_contacts.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
@@ -20,12 +20,12 @@
 # store is followed here.
 CHECK_SECONDS = 0.5
 # Twice the interval at which a VM vouches, and half of it for the way.
-VOUCHED_SECONDS = 1.25
+HEARTBEAT_TIMEOUT_SECONDS = 1.25
 # A VM that was asked and does not vouch in this time relies on others itself.
-ANSWER_SECONDS = 1.0
+SUBSCRIBE_TIMEOUT_SECONDS = 1.0
 
 
-class WatchContacts:
+class UpstreamSelector:
     """Finds enough VMs that tell what the store's tables hold.
 
     Attributes:
@@ -46,12 +46,12 @@
         self.members = members
         self.followers = tuple(followers)
         self.log = log
-        self.relied: set[str] = set()
-        self.ordered_for: dict[str, Member] = {}
-        self.order: tuple[Member, ...] = ()
+        self.relayed_tables: set[str] = set()
+        self.cached_members: dict[str, Member] = {}
+        self.cached_upstreams: tuple[Member, ...] = ()
         self.subscription: Subscription | None = None
         for follower in self.followers:
-            follower.vouched = self.vouched
+            follower.has_upstreams = self.has_upstreams
 
     async def start(self, timer: Timer) -> None:
         """Begin to look for VMs.
@@ -68,30 +68,32 @@
         if self.subscription:
             self.subscription.close()
 
-    def above(self) -> tuple[Member, ...]:
+    def upstreams(self) -> tuple[Member, ...]:
         """Return the VMs that this one may rely on, best first."""
         members = self.members.members
-        if members is not self.ordered_for:
-            self.ordered_for = members
-            order = upstream_vms(self.members.own, members.values())
-            self.order = order[:MAX_UPSTREAMS]
-        return self.order
+        if members is not self.cached_members:
+            self.cached_members = members
+            cached_upstreams = upstream_vms(self.members.own, members.values())
+            self.cached_upstreams = cached_upstreams[:MAX_UPSTREAMS]
+        return self.cached_upstreams
 
     def streams(self) -> list[HomeStream]:
         """Return the open streams to those VMs."""
-        found = (self.router.stream_to(one.vm) for one in self.above())
+        found = (self.router.stream_to(one.vm) for one in self.upstreams())
         return [one for one in found if one is not None]
 
-    def vouched(self, table: str) -> bool:
+    def has_upstreams(self, table: str) -> bool:
         """Return whether others tell every change of a table.
 
         Args:
           table: The table.
         """
-        vouching = [
-            one for one in self.streams() if one.vouches(table, VOUCHED_SECONDS)
+        live_streams = [
+            one
+            for one in self.streams()
+            if one.vouches(table, HEARTBEAT_TIMEOUT_SECONDS)
         ]
-        return len(vouching) >= MIN_UPSTREAMS
+        return len(live_streams) >= MIN_UPSTREAMS
 
     async def check(self, _now: float) -> None:
         """Ask more VMs to tell the tables, if too few do.
@@ -99,28 +101,30 @@
         Args:
           _now: The timer's time.
         """
-        tables = {one.table for one in self.followers if one.wanted()}
-        self.note(tables)
-        useful = 0
-        for member in self.above():
-            if useful >= MIN_UPSTREAMS:
+        tables = {one.table for one in self.followers if one.needed()}
+        self.log_relayed_tables(tables)
+        usable = 0
+        for member in self.upstreams():
+            if usable >= MIN_UPSTREAMS:
                 return
             stream = await self.router.reach(member)
             if stream is None or stream.leaving:
                 continue
             stream.follow(tables)
-            useful += self.useful(stream, tables)
+            usable += self.usable(stream, tables)
 
-    def useful(self, stream: HomeStream, tables: set[str]) -> bool:
+    def usable(self, stream: HomeStream, tables: set[str]) -> bool:
         """Return whether a VM vouches, or has just been asked to."""
         now = self.router.loop.time()
-        if now - stream.asked_at < ANSWER_SECONDS:
+        if now - stream.asked_at < SUBSCRIBE_TIMEOUT_SECONDS:
             return True
-        return all(stream.vouches(one, VOUCHED_SECONDS) for one in tables)
+        return all(
+            stream.vouches(one, HEARTBEAT_TIMEOUT_SECONDS) for one in tables
+        )
 
-    def note(self, tables: set[str]) -> None:
+    def log_relayed_tables(self, tables: set[str]) -> None:
         """Log when this VM begins or ceases to rely on others."""
-        relied = {one for one in tables if self.vouched(one)}
-        if relied != self.relied:
-            self.relied = relied
-            self.log.event("relies_on_others", tables=sorted(relied))
+        relayed_tables = {one for one in tables if self.has_upstreams(one)}
+        if relayed_tables != self.relayed_tables:
+            self.relayed_tables = relayed_tables
+            self.log.event("relies_on_others", tables=sorted(relayed_tables))
--- a/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
@@ -8,7 +8,7 @@
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.store_health import StoreHealth
 from jackdawcrank.relay.table_follower import TableFollower
-from jackdawcrank.relay.table_teller import TableTeller
+from jackdawcrank.relay.table_publisher import TablePublisher
 from jackdawcrank.seams.metadata_store import (
     HistoryGone,
     StoredRow,
@@ -45,7 +45,7 @@
 
 
 @attrs.define(eq=False)
-class FakeListener:
+class FakeSubscriber:
     sent: list[bytes] = attrs.Factory(list)
 
     def send(self, body: bytes) -> None:
@@ -94,9 +94,9 @@
 
 
 async def test_older_news_changes_nothing(follower: TableFollower) -> None:
-    follower.take_image(TableImage((row("a", 8),), 9, 100.0))
-    follower.take_changes(TableChanges((), ("a",), 7))
-    follower.take_image(TableImage((), 9, 100.0))
+    follower.apply_image(TableImage((row("a", 8),), 9, 100.0))
+    follower.apply_changes(TableChanges((), ("a",), 7))
+    follower.apply_image(TableImage((), 9, 100.0))
     assert set(follower.rows) == {"a"}
 
 
@@ -105,7 +105,7 @@
 ) -> None:
     await follower.start()
     await settle()
-    follower.vouched = lambda _table: True
+    follower.has_upstreams = lambda _table: True
     store.image = TableImage((row("a", 30),), 31, 130.0)
     store.answers.put_nowait(HistoryGone())
     await settle()
@@ -116,8 +116,8 @@
 async def test_nothing_is_asked_of_the_store_while_others_vouch(
     follower: TableFollower, store: FakeStore
 ) -> None:
-    follower.take_image(TableImage((), 5, 100.0))
-    follower.vouched = lambda _table: True
+    follower.apply_image(TableImage((), 5, 100.0))
+    follower.has_upstreams = lambda _table: True
     await follower.start()
     await settle()
     assert (store.reads, store.asked_after) == (0, [])
@@ -127,41 +127,41 @@
 async def test_news_name_the_revision_that_they_follow(
     follower: TableFollower,
 ) -> None:
-    follower.take_image(TableImage((), 5, 100.0))
+    follower.apply_image(TableImage((), 5, 100.0))
     # Nothing of this table changed up to 9.
-    follower.take_changes(TableChanges((), (), 9))
-    follower.take_revision(12)
-    assert (follower.revision, follower.told_revision) == (12, 5)
-    follower.take_changes(TableChanges((row("a", 15),), (), 15))
-    assert follower.told_revision == 15
+    follower.apply_changes(TableChanges((), (), 9))
+    follower.advance_revision(12)
+    assert (follower.revision, follower.last_change_revision) == (12, 5)
+    follower.apply_changes(TableChanges((row("a", 15),), (), 15))
+    assert follower.last_change_revision == 15
 
 
 async def test_listener_gets_the_image_first_and_then_all_changes(
     follower: TableFollower,
 ) -> None:
-    teller = TableTeller([follower])
-    early, late = FakeListener(), FakeListener()
-    teller.listen(early, ["op", "nonsense"])
+    publisher = TablePublisher([follower])
+    early, late = FakeSubscriber(), FakeSubscriber()
+    publisher.subscribe(early, ["op", "nonsense"])
     assert early.sent == []
-    follower.take_image(TableImage((row("a", 3),), 5, 100.0))
-    follower.take_changes(TableChanges((row("b", 7),), (), 7))
-    teller.listen(late, ["op"])
+    follower.apply_image(TableImage((row("a", 3),), 5, 100.0))
+    follower.apply_changes(TableChanges((row("b", 7),), (), 7))
+    publisher.subscribe(late, ["op"])
     # Image and change; image and the vouch for it.
     assert (len(early.sent), len(late.sent)) == (2, 2)
-    teller.forget(early)
-    follower.take_changes(TableChanges((row("c", 8),), (), 8))
+    publisher.unsubscribe(early)
+    follower.apply_changes(TableChanges((row("c", 8),), (), 8))
     assert (len(early.sent), len(late.sent)) == (2, 3)
 
 
 async def test_what_is_only_told_is_not_vouched_for(
     follower: TableFollower,
 ) -> None:
-    teller, listener = TableTeller([follower]), FakeListener()
-    follower.take_image(TableImage((), 5, 100.0))
-    follower.vouched = lambda _table: True
-    teller.listen(listener, ["op"])
-    await teller.vouch_to_all(0.0)
-    assert len(listener.sent) == 1
-    follower.vouched = lambda _table: False
-    await teller.vouch_to_all(0.0)
-    assert len(listener.sent) == 2
+    publisher, subscriber = TablePublisher([follower]), FakeSubscriber()
+    follower.apply_image(TableImage((), 5, 100.0))
+    follower.has_upstreams = lambda _table: True
+    publisher.subscribe(subscriber, ["op"])
+    await publisher.send_heartbeats(0.0)
+    assert len(subscriber.sent) == 1
+    follower.has_upstreams = lambda _table: False
+    await publisher.send_heartbeats(0.0)
+    assert len(subscriber.sent) == 2
