--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/claim_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/claim_rows.py
@@ -28,7 +28,7 @@
     """
 
     claim: Claim
-    first_order: bool
+    earlier_orders_settled: bool
 
 
 class ClaimRows:
@@ -64,21 +64,24 @@
             return None
         self.store_health.record_success()
         row = image.rows[0] if image.rows else None
-        present = self.read(row) if row else None
-        if row and present is None:
+        current = self.read(row) if row else None
+        if row and current is None:
             return None
-        if present and present.holder == holder and not present.settled:
+        if current and current.holder == holder and not current.settled:
             # The answer to this process's own write was lost, or its order
             # has not been answered yet.
-            return HeldClaim(present, False)
-        wanted = next_claim(present, holder, replaced, image.store_seconds)
-        if wanted is None:
+            return HeldClaim(current, False)
+        new_claim = next_claim(current, holder, replaced, image.store_seconds)
+        if new_claim is None:
             return None
         written = await self.store.replace_row(
-            CLAIMS_TABLE, group, dump(wanted), row.revision if row else 0
+            CLAIMS_TABLE,
+            group,
+            encode_claim(new_claim),
+            row.revision if row else 0,
         )
         if isinstance(written, RowWritten):
-            return HeldClaim(wanted, present is None or present.settled)
+            return HeldClaim(new_claim, current is None or current.settled)
         if isinstance(written, StoreFailure):
             self.log.event("claim_failed", group=group, detail=written.detail)
         return None
@@ -98,7 +101,7 @@
             await self.store.replace_row(
                 CLAIMS_TABLE,
                 group,
-                dump(attrs.evolve(claim, settled=True)),
+                encode_claim(attrs.evolve(claim, settled=True)),
                 row.revision,
             )
 
@@ -114,7 +117,7 @@
             return None
 
 
-def dump(claim: Claim) -> bytes:
+def encode_claim(claim: Claim) -> bytes:
     """Return a claim as stored.
 
     Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -31,22 +31,22 @@
 
 # Proxies that notice the same loss wait a random time, so that one of them
 # claims it and the others see that.
-SPREAD_SECONDS = 0.15
+CLAIM_JITTER_SECONDS = 0.15
 # After a failed try: servers and authority need time to come back.
 RETRY_SECONDS = 0.5
-LONGEST_RETRY_SECONDS = 3.0
+MAX_RETRY_SECONDS = 3.0
 # A group without a primary may have one whose report is on its way.
-NO_PRIMARY_SECONDS = 1.0
+MISSING_PRIMARY_SECONDS = 1.0
 # Time for a replica to receive what the leaving primary has; its lag in
 # receiving is a network's delay.
-CATCH_UP_SECONDS = 2.0
+CATCH_UP_TIMEOUT_SECONDS = 2.0
 POLL_SECONDS = 0.05
 # Between looks for a primary, by each of some twenty proxies.
-LOOK_SECONDS = 0.3
+PRIMARY_POLL_SECONDS = 0.3
 # An order without an answer is repeated until somebody else holds the claim.
-ORDER_SECONDS = 8.0
+PROMOTION_TIMEOUT_SECONDS = 8.0
 # A promotion takes up to 1 s on the users' sites.
-EFFECT_SECONDS = 3.0
+PROMOTION_EFFECT_SECONDS = 3.0
 
 
 LEAVING = "leaving"
@@ -58,7 +58,7 @@
 Work = Coroutine[Any, Any, None]
 
 
-class Result(enum.Enum):
+class ReplacementResult(enum.Enum):
     """What became of a try to replace a primary."""
 
     DONE = "done"
@@ -111,21 +111,21 @@
             return
         reason = self.reason()
         if reason is not None:
-            self.begin(self.replace(reason))
+            self.start_task(self.replace(reason))
         elif self.group.primary_lane() is None:
             if self.group.lanes:
-                self.begin(self.look_again())
+                self.start_task(self.poll_for_primary())
         elif self.group.doubt.has_evidence():
-            self.begin(self.question_primary())
+            self.start_task(self.probe_primary())
 
-    def begin(self, work: Work) -> None:
+    def start_task(self, work: Work) -> None:
         """Run one piece of work; the next check waits for it."""
         self.running = True
-        task = self.loop.create_task(self.guard(work))
+        task = self.loop.create_task(self.run_task(work))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def guard(self, work: Work) -> None:
+    async def run_task(self, work: Work) -> None:
         """Finish a piece of work, whatever it raises."""
         try:
             await work
@@ -148,7 +148,7 @@
             if self.primary_missing_since is None:
                 self.primary_missing_since = now
             missing = now - self.primary_missing_since
-            return MISSING if missing >= NO_PRIMARY_SECONDS else None
+            return MISSING if missing >= MISSING_PRIMARY_SECONDS else None
         self.primary_missing_since = None
         if lane.server.leaving:
             return LEAVING
@@ -159,12 +159,12 @@
             return REPLICAS_LAG
         return None
 
-    async def look_again(self) -> None:
+    async def poll_for_primary(self) -> None:
         """Look for a primary that the store does not name."""
-        if not await self.look_for_primary():
-            self.not_before = self.loop.time() + LOOK_SECONDS
+        if not await self.find_primary():
+            self.not_before = self.loop.time() + PRIMARY_POLL_SECONDS
 
-    async def question_primary(self) -> None:
+    async def probe_primary(self) -> None:
         """Find out whether a primary in doubt answers."""
         lane = self.group.primary_lane()
         if lane is None:
@@ -179,27 +179,36 @@
         Args:
           reason: Why.
         """
-        await asyncio.sleep(self.rng.uniform(0.0, SPREAD_SECONDS))
+        await asyncio.sleep(self.rng.uniform(0.0, CLAIM_JITTER_SECONDS))
         if self.reason() is None:
             return
-        if reason == MISSING and await self.look_for_primary():
+        if reason == MISSING and await self.find_primary():
             return
-        old = self.group.primary_lane()
-        old_id = old.server.server_id if old else ""
-        if reason == FailureKind.UNCONFIRMED.value and await self.keeps_up():
+        old_primary = self.group.primary_lane()
+        old_id = old_primary.server.server_id if old_primary else ""
+        if (
+            reason == FailureKind.UNCONFIRMED.value
+            and await self.any_replica_caught_up()
+        ):
             self.group.doubt.commit_acknowledged()
             return
-        if reason == REPLICAS_LAG and not await self.all_lag():
+        if reason == REPLICAS_LAG and not await self.all_replicas_lag():
             self.not_before = self.loop.time() + RETRY_SECONDS
             return
         lost = reason in (FailureKind.SILENT.value, FailureKind.REFUSING.value)
-        if lost and old is not None and (await self.questions.leads(old)).alive:
+        if (
+            lost
+            and old_primary is not None
+            and (await self.questions.leads(old_primary)).alive
+        ):
             return
-        granted = await self.claims.claim(self.group.name, self.process, old_id)
-        if granted is None:
+        held_claim = await self.claims.claim(
+            self.group.name, self.process, old_id
+        )
+        if held_claim is None:
             self.not_before = self.loop.time() + RETRY_SECONDS
             return
-        claim = granted.claim
+        claim = held_claim.claim
         self.log.event(
             "replacing_primary",
             group=self.group.name,
@@ -207,32 +216,37 @@
             reason=reason,
             token=claim.token,
         )
-        if reason in PLANNED and old is not None:
-            result = await self.hand_over(granted, old)
+        if reason in PLANNED and old_primary is not None:
+            result = await self.switch_over(held_claim, old_primary)
         else:
-            result = await self.take_over(granted, old)
-        self.failures = 0 if result is Result.DONE else self.failures + 1
+            result = await self.fail_over(held_claim, old_primary)
+        self.failures = (
+            0 if result is ReplacementResult.DONE else self.failures + 1
+        )
         self.not_before = self.loop.time() + min(
-            RETRY_SECONDS * self.failures, LONGEST_RETRY_SECONDS
+            RETRY_SECONDS * self.failures, MAX_RETRY_SECONDS
         )
         # An order that was obeyed shuts out those of earlier claims; without
         # one, theirs may still be carried out.
-        nothing_open = result is Result.NOTHING_DONE and granted.first_order
-        if result is Result.DONE or nothing_open:
+        no_pending_order = (
+            result is ReplacementResult.NOTHING_DONE
+            and held_claim.earlier_orders_settled
+        )
+        if result is ReplacementResult.DONE or no_pending_order:
             await self.claims.settle(self.group.name, claim)
 
-    async def keeps_up(self) -> bool:
+    async def any_replica_caught_up(self) -> bool:
         """Return whether a replica has received what the primary had."""
-        return bool(await self.replicas_kept_up())
+        return bool(await self.caught_up_replicas())
 
-    async def all_lag(self) -> bool:
+    async def all_replicas_lag(self) -> bool:
         """Return whether every replica that could lead shows old data."""
-        kept_up = await self.replicas_kept_up()
-        return bool(kept_up) and all(
-            one.lag_seconds >= MIN_LAG_SECONDS for one in kept_up
+        caught_up = await self.caught_up_replicas()
+        return bool(caught_up) and all(
+            one.lag_seconds >= MIN_LAG_SECONDS for one in caught_up
         )
 
-    async def replicas_kept_up(self) -> list[ServerStatus]:
+    async def caught_up_replicas(self) -> list[ServerStatus]:
         """Return the replicas that have received what the primary had."""
         primary = self.group.primary_lane()
         if primary is None:
@@ -265,19 +279,19 @@
             terms.append(newest.position.term)
         return max(terms, default=0) + 1
 
-    async def take_over(
-        self, granted: HeldClaim, old: ServerLane | None
-    ) -> "Result":
+    async def fail_over(
+        self, held_claim: HeldClaim, old_primary: ServerLane | None
+    ) -> "ReplacementResult":
         """Freeze the replicas and promote the most advanced one.
 
         Args:
           granted: The right to do so.
           old: The lost primary, if there is one.
         """
-        claim = granted.claim
-        replicas = self.replicas(old)
-        if await self.adopt_leader(replicas):
-            return Result.NOTHING_DONE
+        claim = held_claim.claim
+        replicas = self.replicas(old_primary)
+        if await self.adopt_primary(replicas):
+            return ReplacementResult.NOTHING_DONE
         answers = await self.questions.ask_all(replicas, AskStatus())
         term = max(
             [self.next_term()]
@@ -310,12 +324,12 @@
                 missing=choice.missing,
                 token=claim.token,
             )
-            if granted.first_order:
+            if held_claim.earlier_orders_settled:
                 await self.thaw(answers)
             # Otherwise an order of an earlier claim may still be carried
             # out; it would lose what is acknowledged from now on. The next
             # try goes on from here.
-            return Result.NOTHING_DONE
+            return ReplacementResult.NOTHING_DONE
         self.log.event(
             "successor_chosen",
             group=self.group.name,
@@ -324,7 +338,7 @@
             token=claim.token,
             term=term,
         )
-        return await self.order(claim, choice.server_id, answers)
+        return await self.promote_server(claim, choice.server_id, answers)
 
     async def thaw(self, frozen: list[Questioned]) -> None:
         """Let frozen replicas receive again."""
@@ -332,9 +346,9 @@
             [one.lane for one in frozen if one.status is not None], Thaw()
         )
 
-    async def order(
+    async def promote_server(
         self, claim: Claim, server_id: str, frozen: list[Questioned]
-    ) -> "Result":
+    ) -> "ReplacementResult":
         """Have a server promoted; repeat the order until it is answered.
 
         Args:
@@ -342,7 +356,7 @@
           server_id: The server.
           frozen: The replicas that wait for the new primary.
         """
-        deadline = self.loop.time() + ORDER_SECONDS
+        deadline = self.loop.time() + PROMOTION_TIMEOUT_SECONDS
         unanswered = False
         while True:
             answer = await self.authority.promote(
@@ -356,18 +370,26 @@
                 answer=answer.value,
             )
             if answer is LeadAnswer.DONE:
-                return await self.see_through(server_id, frozen)
+                return await self.await_promotion(server_id, frozen)
             unanswered = unanswered or answer is LeadAnswer.UNANSWERED
             if answer is LeadAnswer.REFUSED:
                 # Another holder is in charge, or the server does not run.
-                return Result.UNANSWERED if unanswered else Result.NOTHING_DONE
+                return (
+                    ReplacementResult.UNANSWERED
+                    if unanswered
+                    else ReplacementResult.NOTHING_DONE
+                )
             if self.loop.time() >= deadline:
-                return Result.UNANSWERED if unanswered else Result.NOTHING_DONE
+                return (
+                    ReplacementResult.UNANSWERED
+                    if unanswered
+                    else ReplacementResult.NOTHING_DONE
+                )
             await asyncio.sleep(2 * POLL_SECONDS)
 
-    async def see_through(
+    async def await_promotion(
         self, server_id: str, frozen: list[Questioned]
-    ) -> "Result":
+    ) -> "ReplacementResult":
         """Wait until a promoted server leads; then thaw the others.
 
         The order takes effect some time after its answer. Until then the old
@@ -378,13 +400,13 @@
           server_id: The promoted server.
           frozen: The replicas that wait for it.
         """
-        deadline = self.loop.time() + EFFECT_SECONDS
+        deadline = self.loop.time() + PROMOTION_EFFECT_SECONDS
         lane = self.group.lanes.get(server_id)
         while lane is not None and self.loop.time() < deadline:
             if (await self.questions.leads(lane)).leads:
                 self.group.promoted(server_id)
                 await self.thaw([one for one in frozen if one.lane is not lane])
-                return Result.DONE
+                return ReplacementResult.DONE
             await asyncio.sleep(POLL_SECONDS)
             lane = self.group.lanes.get(server_id)
         self.log.event(
@@ -392,16 +414,16 @@
             group=self.group.name,
             server=server_id,
         )
-        return Result.UNANSWERED
+        return ReplacementResult.UNANSWERED
 
-    async def look_for_primary(self) -> bool:
+    async def find_primary(self) -> bool:
         """Ask the servers which of them leads; return whether one does.
 
         Their reports in the store may be late or out of reach.
         """
-        return await self.adopt_leader(list(self.group.lanes.values()))
+        return await self.adopt_primary(list(self.group.lanes.values()))
 
-    async def adopt_leader(self, lanes: list[ServerLane]) -> bool:
+    async def adopt_primary(self, lanes: list[ServerLane]) -> bool:
         """Make a server that leads the primary; return whether one does.
 
         Args:
@@ -418,52 +440,60 @@
         self.group.promoted(max(leading)[1])
         return True
 
-    async def hand_over(self, granted: HeldClaim, old: ServerLane) -> "Result":
+    async def switch_over(
+        self, held_claim: HeldClaim, old_primary: ServerLane
+    ) -> "ReplacementResult":
         """Move the lead of a primary that answers.
 
         Args:
           granted: The right to do so.
           old: The primary.
         """
-        first = await self.questions.leads(old)
+        first = await self.questions.leads(old_primary)
         if first.alive and not first.leads:
             # Somebody else has moved it meanwhile.
-            await self.look_for_primary()
-            return Result.NOTHING_DONE
-        staying = [one for one in self.replicas(old) if not one.server.leaving]
-        answers = await self.questions.ask_all(staying, AskStatus())
+            await self.find_primary()
+            return ReplacementResult.NOTHING_DONE
+        staying_replicas = [
+            one for one in self.replicas(old_primary) if not one.server.leaving
+        ]
+        answers = await self.questions.ask_all(staying_replicas, AskStatus())
         if not any(one.status for one in answers):
             self.log.event("no_successor", group=self.group.name, missing=())
-            return Result.NOTHING_DONE
+            return ReplacementResult.NOTHING_DONE
         terms = [one.status.term + 1 for one in answers if one.status]
         term = max([self.next_term(), *terms])
-        stepped = await self.questions.ask(old, StepDown(term))
-        if stepped.status is None:
-            return await self.take_over(granted, old)
-        final = stepped.status.received
-        server_id = await self.wait_for_position(staying, final)
+        step_down_reply = await self.questions.ask(old_primary, StepDown(term))
+        if step_down_reply.status is None:
+            return await self.fail_over(held_claim, old_primary)
+        final_position = step_down_reply.status.received
+        server_id = await self.wait_for_position(
+            staying_replicas, final_position
+        )
         if server_id is None:
             self.log.event(
-                "hand_over_undone", group=self.group.name, position=str(final)
+                "hand_over_undone",
+                group=self.group.name,
+                position=str(final_position),
             )
-            server_id = old.server.server_id
-        return await self.order(granted.claim, server_id, [])
+            server_id = old_primary.server.server_id
+        return await self.promote_server(held_claim.claim, server_id, [])
 
     async def wait_for_position(
         self, lanes: list[ServerLane], position: Position
     ) -> str | None:
         """Return the first server that has received a position, or None."""
-        deadline = self.loop.time() + CATCH_UP_SECONDS
+        deadline = self.loop.time() + CATCH_UP_TIMEOUT_SECONDS
         while self.loop.time() < deadline:
             answers = await self.questions.ask_all(lanes, AskStatus())
-            able = [
+            candidates = [
                 one.lane
                 for one in answers
                 if one.status and one.status.received >= position
             ]
-            if able:
+            if candidates:
                 nearest = min(
-                    able,
+                    candidates,
                     key=lambda one: self.group.whereabouts.distance(
                         one.server.data_center
                     ),
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
@@ -39,7 +39,7 @@
         self.authority = authority
         self.log = log
         self.rng = rng
-        self.watches: dict[str, GroupSuccession] = {}
+        self.successions: dict[str, GroupSuccession] = {}
         self.subscription: Subscription | None = None
 
     async def start(self, timer: Timer) -> None:
@@ -56,8 +56,8 @@
         """Stop watching."""
         if self.subscription:
             self.subscription.close()
-        for watch in self.watches.values():
-            await watch.close()
+        for succession in self.successions.values():
+            await succession.close()
 
     async def check(self, _now: float) -> None:
         """Look at every group.
@@ -66,11 +66,11 @@
           _now: The timer's time.
         """
         groups = self.directory.groups
-        for name in self.watches.keys() - groups.keys():
-            await self.watches.pop(name).close()
+        for name in self.successions.keys() - groups.keys():
+            await self.successions.pop(name).close()
         for name, group in groups.items():
-            if name not in self.watches:
-                self.watches[name] = GroupSuccession(
+            if name not in self.successions:
+                self.successions[name] = GroupSuccession(
                     group,
                     self.vm,
                     self.process,
@@ -80,4 +80,4 @@
                     self.rng,
                 )
             if group.homes.is_home(group.group):
-                self.watches[name].check()
+                self.successions[name].check()
