--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/claim_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/claim_rows.py
@@ -23,7 +23,7 @@
 
     Attributes:
       claim: The claim.
-      first_order: Whether no order of an earlier claim can be carried out
+      earlier_orders_settled: Whether no order of an earlier claim can be carried out
         any more.
     """
 
@@ -36,7 +36,7 @@
 
     Attributes:
       store: Where the rows lie, one a group.
-      contact: Told of every answer and failure.
+      store_health: Told of every answer and failure.
       log: Where decisions are told.
     """
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -32,7 +32,7 @@
       servers: The servers by the key of their report.
       groups: The groups that databases use.
       servers_known: Whether the servers were read at least once.
-      servers_seen: Set once they were.
+      servers_loaded: Set once they were.
       ready: Set once databases are known.
     """
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -251,8 +251,8 @@
         primary = self.group.primary_lane()
         if primary is None:
             return []
-        first = await self.questions.ask(primary, AskStatus())
-        if first.status is None:
+        primary_reply = await self.questions.ask(primary, AskStatus())
+        if primary_reply.status is None:
             return []
         replicas = self.replicas(primary)
         answers = await self.questions.ask_all(replicas, AskStatus())
@@ -260,7 +260,7 @@
             one.status
             for one in answers
             if one.status is not None
-            and one.status.received >= first.status.received
+            and one.status.received >= primary_reply.status.received
         ]
 
     def replicas(self, primary: ServerLane | None) -> list[ServerLane]:
@@ -285,8 +285,8 @@
         """Freeze the replicas and promote the most advanced one.
 
         Args:
-          granted: The right to do so.
-          old: The lost primary, if there is one.
+          held_claim: The right to do so.
+          old_primary: The lost primary, if there is one.
         """
         claim = held_claim.claim
         replicas = self.replicas(old_primary)
@@ -446,11 +446,11 @@
         """Move the lead of a primary that answers.
 
         Args:
-          granted: The right to do so.
-          old: The primary.
+          held_claim: The right to do so.
+          old_primary: The primary.
         """
-        first = await self.questions.leads(old_primary)
-        if first.alive and not first.leads:
+        primary_reply = await self.questions.leads(old_primary)
+        if primary_reply.alive and not primary_reply.leads:
             # Somebody else has moved it meanwhile.
             await self.find_primary()
             return ReplacementResult.NOTHING_DONE
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
@@ -53,8 +53,8 @@
     Attributes:
       own: This VM.
       members: All VMs with a fresh row, by name.
-      known: Whether all rows of VMs that are up should be known.
-      written: The rows by VM, stale ones included.
+      complete: Whether all rows of VMs that are up should be known.
+      member_rows: The rows by VM, stale ones included.
       store_seconds: Tells what the store's clock shows.
     """
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
@@ -19,7 +19,7 @@
 
     Attributes:
       directory: The groups.
-      watches: The watches by group.
+      successions: The watches by group.
     """
 
     def __init__(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
@@ -61,12 +61,12 @@
       rows: Its rows by key.
       revision: The store's version up to which changes are known; None before
         the first image.
-      told_revision: The version of the latest news.
+      last_change_revision: The version of the latest news.
       must_read: Whether the table must be read before it can be followed.
-      wanted: Tells whether this process needs the table.
-      vouched: Tells whether others vouch for this one's rows.
-      contact: Told of every answer and failure.
-      news: Told of what is new here.
+      needed: Tells whether this process needs the table.
+      has_upstreams: Tells whether others vouch for this one's rows.
+      store_health: Told of every answer and failure.
+      observer: Told of what is new here.
       failures: Failures in a row.
     """
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_publisher.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_publisher.py
@@ -38,7 +38,7 @@
 
     Attributes:
       followers: What is followed here, by table.
-      listeners: The tables that each connection wants.
+      subscribers: The tables that each connection wants.
     """
 
     def __init__(self, followers: Iterable[TableFollower]) -> None:
@@ -67,7 +67,7 @@
         """Tell a proxy the tables that it wants, from now on.
 
         Args:
-          listener: The proxy's connection.
+          subscriber: The proxy's connection.
           tables: The tables.
         """
         known = self.subscribers.setdefault(subscriber, set())
@@ -80,7 +80,7 @@
         """Take in that a proxy's connection has ended.
 
         Args:
-          listener: The connection.
+          subscriber: The connection.
         """
         self.subscribers.pop(subscriber, None)
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
@@ -32,7 +32,7 @@
       router: Holds the streams.
       members: Knows the VMs.
       followers: The tables.
-      relied: The tables that others vouch for now.
+      relayed_tables: The tables that others vouch for now.
     """
 
     def __init__(
--- a/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
@@ -29,7 +29,7 @@
         attrs.Factory(asyncio.Queue)
     )
     reads: int = 0
-    asked_after: list[int] = attrs.Factory(list)
+    followed_revisions: list[int] = attrs.Factory(list)
 
     async def read_table(
         self, table: str, key: str | None = None
@@ -40,7 +40,7 @@
     async def follow(
         self, table: str, after: int, wait_seconds: float
     ) -> TableChanges | HistoryGone | StoreFailure:
-        self.asked_after.append(after)
+        self.followed_revisions.append(after)
         return await self.answers.get()
 
 
@@ -89,18 +89,18 @@
     await settle()
     store.answers.put_nowait(TableChanges((row("b", 7),), ("a",), 7))
     await settle()
-    assert (store.asked_after[0], follower.revision) == (5, 7)
+    assert (store.followed_revisions[0], follower.revision) == (5, 7)
     assert set(follower.rows) == {"b"}
 
 
-async def test_older_news_changes_nothing(follower: TableFollower) -> None:
+async def test_older_revisions_change_nothing(follower: TableFollower) -> None:
     follower.apply_image(TableImage((row("a", 8),), 9, 100.0))
     follower.apply_changes(TableChanges((), ("a",), 7))
     follower.apply_image(TableImage((), 9, 100.0))
     assert set(follower.rows) == {"a"}
 
 
-async def test_forgotten_history_is_read_anew_though_others_vouch(
+async def test_trimmed_history_is_reread_despite_upstreams(
     follower: TableFollower, store: FakeStore
 ) -> None:
     await follower.start()
@@ -113,18 +113,18 @@
     assert (follower.revision, set(follower.rows)) == (31, {"a"})
 
 
-async def test_nothing_is_asked_of_the_store_while_others_vouch(
+async def test_store_is_not_called_while_upstreams_are_live(
     follower: TableFollower, store: FakeStore
 ) -> None:
     follower.apply_image(TableImage((), 5, 100.0))
     follower.has_upstreams = lambda _table: True
     await follower.start()
     await settle()
-    assert (store.reads, store.asked_after) == (0, [])
+    assert (store.reads, store.followed_revisions) == (0, [])
     assert not follower.active()
 
 
-async def test_news_name_the_revision_that_they_follow(
+async def test_last_change_revision_skips_empty_changes(
     follower: TableFollower,
 ) -> None:
     follower.apply_image(TableImage((), 5, 100.0))
@@ -136,7 +136,7 @@
     assert follower.last_change_revision == 15
 
 
-async def test_listener_gets_the_image_first_and_then_all_changes(
+async def test_subscriber_gets_the_image_before_all_changes(
     follower: TableFollower,
 ) -> None:
     publisher = TablePublisher([follower])
@@ -153,7 +153,7 @@
     assert (len(early.sent), len(late.sent)) == (2, 3)
 
 
-async def test_what_is_only_told_is_not_vouched_for(
+async def test_heartbeats_leave_out_relayed_tables(
     follower: TableFollower,
 ) -> None:
     publisher, subscriber = TablePublisher([follower]), FakeSubscriber()
