--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -214,7 +214,7 @@
         )
 
     async def close(self) -> None:
-        """Cancel pending removals and close all server connections."""
+        """Cancel pending removals and retire the lanes of all servers."""
         for handle in self.removal_timers.values():
             handle.cancel()
         for group in self.groups.values():
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
@@ -1,4 +1,4 @@
-"""Following a table of the store through its troubles."""
+"""Following of a table of the store, across outages."""
 
 import asyncio
 import random
@@ -17,57 +17,64 @@
 )
 from jackdawcrank_policy.retry.backoff import backoff_seconds
 
-# A store that is back must be noticed well within the bound of a
+# A recovered store must be noticed well within the time limit for applying a
 # configuration (3 s).
 MAX_BACKOFF_SECONDS = 0.5
 INITIAL_BACKOFF_SECONDS = 0.1
-# Changes come in groups, as servers start or configurations follow each other;
-# one call then fetches several. A tenth of the bound of a configuration.
+# Changes come in bursts when servers start or configurations follow each other;
+# waiting lets one call fetch several. A tenth of the time limit for applying a
+# configuration.
 COALESCE_SECONDS = 0.3
-# How soon a table that nobody else vouches for any more is followed here.
+# Interval at which an idle follower checks whether it must follow the store.
 IDLE_POLL_SECONDS = 0.2
 
 
 class TableObserver(typing.Protocol):
-    """Is told what a follower has learned, to pass it on."""
+    """Observes the images and changes that a follower applies."""
 
     def image_applied(self, follower: "TableFollower") -> None:
-        """Take in that a table was read anew.
+        """Handle a new image of a table.
 
         Args:
-          follower: Holds its rows.
+          follower: Holds the table's rows.
         """
 
     def changes_applied(
         self, follower: "TableFollower", after: int, changes: TableChanges
     ) -> None:
-        """Take in that a table has changed.
+        """Handle changes of a table.
 
         Args:
-          follower: Holds its rows.
-          after: The revision that the changes follow.
+          follower: Holds the table's rows.
+          after: The revision to which the changes apply.
           changes: The changes.
         """
 
 
 class TableFollower:
-    """Keeps up with a table for as long as the proxy runs.
+    """Keeps a copy of a table up to date for as long as the proxy runs.
 
-    It reads the table and waits for changes, unless other proxies vouch that
-    they tell all of them.
+    It reads the table and waits for changes in the store, unless upstream VMs
+    relay all changes.
 
     Attributes:
-      table: The table.
-      rows: Its rows by key.
-      revision: The store's version up to which changes are known; None before
-        the first image.
-      last_change_revision: The version of the latest news.
+      table: The table's name.
+      wait_seconds: The longest wait of one call for changes.
+      discovery_seconds: How long after the start upstream VMs may be found
+        before the store is followed.
+      rows: The table's rows by key.
+      revision: The store's revision up to which all changes are known; None
+        before the first image.
+      last_change_revision: The revision of the latest image or non-empty
+        change.
       must_read: Whether the table must be read before it can be followed.
-      needed: Tells whether this process needs the table.
-      has_upstreams: Tells whether others vouch for this one's rows.
-      store_health: Told of every answer and failure.
-      observer: Told of what is new here.
-      failures: Failures in a row.
+      store_offset: The store's clock minus the event loop's, in seconds.
+      needed: Returns whether this process needs the table.
+      has_upstreams: Returns whether enough upstream VMs relay all changes of
+        a table.
+      store_health: Records answers and failures of the store.
+      observer: Receives each new image and change; may be None.
+      failures: The number of failed calls in a row.
     """
 
     def __init__(
@@ -106,18 +113,18 @@
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the table."""
         self.discovery_ends_at = self.loop.time() + self.discovery_seconds
         self.task = asyncio.create_task(self.run())
 
     async def close(self) -> None:
-        """Stop following."""
+        """Stop following the table."""
         if self.task:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
 
     def active(self) -> bool:
-        """Return whether changes come from the store itself."""
+        """Return whether this process follows the table in the store."""
         return (
             self.revision is not None
             and not self.store_health.lost
@@ -125,29 +132,30 @@
         )
 
     def idle(self) -> bool:
-        """Return whether following the store would be of no use."""
+        """Return whether the store need not be followed."""
         if not self.needed():
             return True
         return not self.must_read and self.has_upstreams(self.table)
 
     async def run(self) -> None:
-        """Follow until closed."""
+        """Follow the table until cancelled."""
         while True:
             if self.idle():
                 if self.has_upstreams(self.table):
-                    # The store is there, or nobody would vouch.
+                    # Upstream VMs send heartbeats only while they reach the
+                    # store.
                     self.store_health.record_success()
                 await asyncio.sleep(IDLE_POLL_SECONDS)
             elif self.revision is None or self.must_read:
                 await self.read()
             elif self.loop.time() < self.discovery_ends_at:
-                # Others may be found in this time that follow it anyway.
+                # Upstream VMs that follow the store may still be found.
                 await asyncio.sleep(IDLE_POLL_SECONDS)
             else:
                 await self.follow(self.revision)
 
     async def read(self) -> None:
-        """Read the whole table."""
+        """Read the whole table; wait if that fails."""
         image = await self.store.read_table(self.table)
         if isinstance(image, StoreFailure):
             await self.failed(image)
@@ -156,10 +164,10 @@
         self.apply_image(image)
 
     async def follow(self, revision: int) -> None:
-        """Wait for the next changes.
+        """Wait for the next changes and apply them.
 
         Args:
-          revision: The version up to which changes are known.
+          revision: The revision up to which changes are known.
         """
         changes = await self.store.follow(
             self.table, revision, self.wait_seconds
@@ -177,10 +185,10 @@
             await asyncio.sleep(COALESCE_SECONDS)
 
     def apply_image(self, image: TableImage) -> None:
-        """Take in the whole table, read here or told by another proxy.
+        """Apply an image, read from the store or sent by an upstream VM.
 
         Args:
-          image: Its rows; ignored if something newer is known.
+          image: The whole table; ignored unless newer than the known rows.
         """
         self.must_read = False
         if self.revision is not None and image.revision <= self.revision:
@@ -193,10 +201,11 @@
             self.observer.image_applied(self)
 
     def apply_changes(self, changes: TableChanges) -> None:
-        """Take in changes, read here or told by another proxy.
+        """Apply changes, read from the store or sent by an upstream VM.
 
         Args:
-          changes: All changes since a revision that is known here.
+          changes: All changes since a revision that is known here; ignored
+            unless newer than the known rows.
         """
         if self.revision is None or changes.revision <= self.revision:
             return
@@ -215,16 +224,16 @@
             self.observer.changes_applied(self, after, changes)
 
     def advance_revision(self, revision: int) -> None:
-        """Take in that nothing else has changed up to a revision.
+        """Record that all changes up to a revision are known.
 
         Args:
-          revision: The store's version.
+          revision: The store's revision.
         """
         if self.revision is not None:
             self.revision = max(self.revision, revision)
 
     def image(self) -> TableImage | None:
-        """Return the table as it is known here; None before the first read."""
+        """Return the known table; None before the first image."""
         if self.revision is None:
             return None
         return TableImage(
@@ -234,16 +243,16 @@
         )
 
     def store_seconds(self) -> float:
-        """Return about what the store's steady clock shows."""
+        """Return the approximate time on the store's steady clock."""
         return self.loop.time() + self.store_offset
 
     def answered(self) -> None:
-        """Take in that the store is there."""
+        """Record an answer of the store."""
         self.store_health.record_success()
         self.failures = 0
 
     async def failed(self, failure: StoreFailure) -> None:
-        """Wait before the next try."""
+        """Record a failure and wait before the next attempt."""
         self.store_health.record_failure(f"{self.table}: {failure.detail}")
         pause = backoff_seconds(
             self.failures,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_publisher.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_publisher.py
@@ -1,4 +1,4 @@
-"""Telling other proxies what the store's tables hold."""
+"""Publication of the store's tables to other proxies."""
 
 import typing
 from collections.abc import Iterable
@@ -14,16 +14,17 @@
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
 
-# Others notice within a bit more than twice this that nobody vouches any
-# more; a sixth of the shortest bound of a configuration (3 s).
+# Subscribers detect missing heartbeats after slightly more than twice this
+# interval. It is a sixth of the shortest time limit for applying a
+# configuration (3 s).
 HEARTBEAT_SECONDS = 0.5
 
 
 class Subscriber(typing.Protocol):
-    """The connection of a proxy that wants to be told."""
+    """The connection of a proxy that subscribes to tables."""
 
     def send(self, body: bytes) -> None:
-        """Send a message without waiting.
+        """Queue a message without waiting.
 
         Args:
           body: The message.
@@ -31,14 +32,16 @@
 
 
 class TablePublisher:
-    """Passes on every change of the tables, and vouches for what it follows.
+    """Publishes all table changes, and heartbeats for followed tables.
 
-    What others told is passed on, too, but not vouched for: if those two
-    fall silent, nobody is left who would notice that the store has changed.
+    Changes received from upstream VMs are published, too, but without
+    heartbeats: if the upstream VMs failed, subscribers would otherwise rely on
+    a proxy that no longer learns of changes in the store.
 
     Attributes:
-      followers: What is followed here, by table.
-      subscribers: The tables that each connection wants.
+      followers: The followers of this process by table.
+      subscribers: The subscribed tables of each connection.
+      subscription: The timer's subscription; None before the start.
     """
 
     def __init__(self, followers: Iterable[TableFollower]) -> None:
@@ -49,26 +52,26 @@
             follower.observer = self
 
     async def start(self, timer: Timer) -> None:
-        """Begin to vouch.
+        """Start to send heartbeats.
 
         Args:
-          timer: Calls back.
+          timer: Schedules the heartbeats.
         """
         self.subscription = timer.subscribe(
             "tables", HEARTBEAT_SECONDS, self.send_heartbeats
         )
 
     async def close(self) -> None:
-        """Stop vouching."""
+        """Stop sending heartbeats."""
         if self.subscription:
             self.subscription.close()
 
     def subscribe(self, subscriber: Subscriber, tables: Iterable[str]) -> None:
-        """Tell a proxy the tables that it wants, from now on.
+        """Subscribe a proxy to tables and send it their images.
 
         Args:
           subscriber: The proxy's connection.
-          tables: The tables.
+          tables: The tables' names; unknown ones are ignored.
         """
         known = self.subscribers.setdefault(subscriber, set())
         for table in sorted(set(tables) & self.followers.keys() - known):
@@ -77,17 +80,17 @@
         self.send_heartbeat(subscriber, known)
 
     def unsubscribe(self, subscriber: Subscriber) -> None:
-        """Take in that a proxy's connection has ended.
+        """Remove a proxy whose connection has ended.
 
         Args:
-          subscriber: The connection.
+          subscriber: The proxy's connection.
         """
         self.subscribers.pop(subscriber, None)
 
     def send_image(
         self, subscriber: Subscriber, follower: TableFollower
     ) -> None:
-        """Send a table as it is known here, if it is."""
+        """Send the image of a table if it is known."""
         image = follower.image()
         if image is not None:
             subscriber.send(
@@ -95,10 +98,10 @@
             )
 
     def image_applied(self, follower: TableFollower) -> None:
-        """Take in that a table was read anew.
+        """Send a new image of a table to its subscribers.
 
         Args:
-          follower: Holds its rows.
+          follower: Holds the table's rows.
         """
         for subscriber, tables in self.subscribers.items():
             if follower.table in tables:
@@ -107,11 +110,11 @@
     def changes_applied(
         self, follower: TableFollower, after: int, changes: TableChanges
     ) -> None:
-        """Take in that a table has changed.
+        """Send changes of a table to its subscribers.
 
         Args:
-          follower: Holds its rows.
-          after: The revision that the changes follow.
+          follower: Holds the table's rows.
+          after: The revision to which the changes apply.
           changes: The changes.
         """
         body = pack(
@@ -122,16 +125,16 @@
                 subscriber.send(body)
 
     async def send_heartbeats(self, _now: float) -> None:
-        """Vouch to every listener.
+        """Send a heartbeat to each subscriber.
 
         Args:
-          _now: The timer's time.
+          _now: The timer's time in seconds; not used.
         """
         for subscriber, tables in self.subscribers.items():
             self.send_heartbeat(subscriber, tables)
 
     def send_heartbeat(self, subscriber: Subscriber, tables: set[str]) -> None:
-        """Tell a proxy up to which revision it knows the tables."""
+        """Send the revisions of those tables that are followed here."""
         revisions = {
             table: self.followers[table].revision
             for table in tables
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
@@ -1,4 +1,4 @@
-"""Streams to the VMs that follow the store for this one."""
+"""Selection of the upstream VMs that relay store changes to this VM."""
 
 from collections.abc import Iterable
 
@@ -16,23 +16,27 @@
     upstream_vms,
 )
 
-# A VM that was relied on and is gone is replaced this soon; meanwhile the
-# store is followed here.
+# A lost upstream VM is replaced within this interval; until then this process
+# follows the store.
 CHECK_SECONDS = 0.5
-# Twice the interval at which a VM vouches, and half of it for the way.
+# Twice the interval of heartbeats, and half of it for delivery.
 HEARTBEAT_TIMEOUT_SECONDS = 1.25
-# A VM that was asked and does not vouch in this time relies on others itself.
+# A VM that sends no heartbeat in this time after a subscription has upstream
+# VMs itself.
 SUBSCRIBE_TIMEOUT_SECONDS = 1.0
 
 
 class UpstreamSelector:
-    """Finds enough VMs that tell what the store's tables hold.
+    """Subscribes to tables at enough upstream VMs.
 
     Attributes:
-      router: Holds the streams.
-      members: Knows the VMs.
-      followers: The tables.
-      relayed_tables: The tables that others vouch for now.
+      router: Holds the streams to other VMs.
+      members: Holds the known VMs.
+      followers: The followers of the store's tables.
+      relayed_tables: The tables whose changes upstream VMs now relay.
+      cached_members: The members for which the cached upstream VMs hold.
+      cached_upstreams: The result of `upstreams`.
+      subscription: The timer's subscription; None before the start.
     """
 
     def __init__(
@@ -54,22 +58,22 @@
             follower.has_upstreams = self.has_upstreams
 
     async def start(self, timer: Timer) -> None:
-        """Begin to look for VMs.
+        """Start to select upstream VMs.
 
         Args:
-          timer: Calls back.
+          timer: Schedules the checks.
         """
         self.subscription = timer.subscribe(
             "contacts", CHECK_SECONDS, self.check
         )
 
     async def close(self) -> None:
-        """Stop looking."""
+        """Stop selecting upstream VMs."""
         if self.subscription:
             self.subscription.close()
 
     def upstreams(self) -> tuple[Member, ...]:
-        """Return the VMs that this one may rely on, best first."""
+        """Return the possible upstream VMs, best ranked first."""
         members = self.members.members
         if members is not self.cached_members:
             self.cached_members = members
@@ -78,15 +82,15 @@
         return self.cached_upstreams
 
     def streams(self) -> list[HomeStream]:
-        """Return the open streams to those VMs."""
+        """Return the open streams to possible upstream VMs."""
         found = (self.router.stream_to(one.vm) for one in self.upstreams())
         return [one for one in found if one is not None]
 
     def has_upstreams(self, table: str) -> bool:
-        """Return whether others tell every change of a table.
+        """Return whether enough upstream VMs relay a table's changes.
 
         Args:
-          table: The table.
+          table: The table's name.
         """
         live_streams = [
             one
@@ -96,10 +100,10 @@
         return len(live_streams) >= MIN_UPSTREAMS
 
     async def check(self, _now: float) -> None:
-        """Ask more VMs to tell the tables, if too few do.
+        """Subscribe at more upstream VMs if too few relay the tables.
 
         Args:
-          _now: The timer's time.
+          _now: The timer's time in seconds; not used.
         """
         tables = {one.table for one in self.followers if one.needed()}
         self.log_relayed_tables(tables)
@@ -114,7 +118,7 @@
             usable += self.usable(stream, tables)
 
     def usable(self, stream: HomeStream, tables: set[str]) -> bool:
-        """Return whether a VM vouches, or has just been asked to."""
+        """Return whether a VM sends heartbeats or was just subscribed to."""
         now = self.router.loop.time()
         if now - stream.asked_at < SUBSCRIBE_TIMEOUT_SECONDS:
             return True
@@ -123,7 +127,7 @@
         )
 
     def log_relayed_tables(self, tables: set[str]) -> None:
-        """Log when this VM begins or ceases to rely on others."""
+        """Log a change of the tables that upstream VMs relay."""
         relayed_tables = {one for one in tables if self.has_upstreams(one)}
         if relayed_tables != self.relayed_tables:
             self.relayed_tables = relayed_tables
--- a/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
@@ -22,7 +22,7 @@
 
 @attrs.define
 class FakeStore:
-    """Answers what the test puts in, and otherwise nothing."""
+    """A store whose answers the test sets; other calls wait forever."""
 
     image: TableImage | StoreFailure = TableImage((), 5, 100.0)
     answers: asyncio.Queue[TableChanges | HistoryGone | StoreFailure] = (
@@ -128,7 +128,7 @@
     follower: TableFollower,
 ) -> None:
     follower.apply_image(TableImage((), 5, 100.0))
-    # Nothing of this table changed up to 9.
+    # No row of this table changed up to revision 9.
     follower.apply_changes(TableChanges((), (), 9))
     follower.advance_revision(12)
     assert (follower.revision, follower.last_change_revision) == (12, 5)
@@ -146,7 +146,8 @@
     follower.apply_image(TableImage((row("a", 3),), 5, 100.0))
     follower.apply_changes(TableChanges((row("b", 7),), (), 7))
     publisher.subscribe(late, ["op"])
-    # Image and change; image and the vouch for it.
+    # The early subscriber got an image and a change, the late one an image
+    # and a heartbeat.
     assert (len(early.sent), len(late.sent)) == (2, 2)
     publisher.unsubscribe(early)
     follower.apply_changes(TableChanges((row("c", 8),), (), 8))
