--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -181,8 +181,8 @@
         if self.declarations is None:
             return
         for name, group in self.declarations.groups.items():
-            present = self.groups.get(name)
-            if present is None:
+            existing = self.groups.get(name)
+            if existing is None:
                 self.groups[name] = GroupRelay(
                     group,
                     self.opener,
@@ -192,7 +192,7 @@
                     self.log,
                 )
             else:
-                present.group = group
+                existing.group = group
             self.groups[name].declared_version = self.declarations.version
             self.groups[name].apply_servers(
                 one for one in self.servers.values() if one.group == name
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
@@ -120,8 +120,8 @@
             # and the table is complete.
             self.complete = True
         self.refresh_members()
-        present = self.member_rows.get(self.own.vm)
-        if present is None or present.member != self.own:
+        own_row = self.member_rows.get(self.own.vm)
+        if own_row is None or own_row.member != self.own:
             self.schedule_write(0.0)
 
     def apply_changes(self, changes: TableChanges) -> None:
@@ -192,8 +192,8 @@
             return
         body = {**attrs.asdict(self.own), "written_at": self.now()}
         value = json.dumps(body).encode()
-        present = self.member_rows.get(self.own.vm)
-        revision = present.revision if present else 0
+        own_row = self.member_rows.get(self.own.vm)
+        revision = own_row.revision if own_row else 0
         written = await self.store.replace_row(
             MEMBERS_TABLE, self.own.vm, value, revision
         )
