--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/claim_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/claim_rows.py
@@ -68,7 +68,7 @@
             return None
         self.store_health.record_success()
         row = image.rows[0] if image.rows else None
-        current = self.read(row) if row else None
+        current = self.decode_claim(row) if row else None
         if row and current is None:
             return None
         if current and current.holder == holder and not current.settled:
@@ -103,7 +103,7 @@
         if isinstance(image, StoreFailure) or not image.rows:
             return
         row = image.rows[0]
-        if self.read(row) == claim:
+        if self.decode_claim(row) == claim:
             await self.store.replace_row(
                 CLAIMS_TABLE,
                 group,
@@ -111,7 +111,7 @@
                 row.revision,
             )
 
-    def read(self, row: StoredRow) -> Claim | None:
+    def decode_claim(self, row: StoredRow) -> Claim | None:
         """Return the claim in a row, or None if it is unreadable.
 
         An unreadable row is never replaced, because fencing tokens must not
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/homes.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/homes.py
@@ -16,14 +16,14 @@
 
     Attributes:
       rows: Holds the known VMs.
-      cached_members: The members for which the cached orders hold.
-      cached_orders: The results of `order` by the group's name.
+      cached_members: The members for which the cached rankings hold.
+      cached_rankings: The results of `ranked_members` by the group's name.
     """
 
     def __init__(self, rows: MemberRows) -> None:
         self.rows = rows
         self.cached_members: dict[str, Member] = {}
-        self.cached_orders: dict[str, tuple[Member, ...]] = {}
+        self.cached_rankings: dict[str, tuple[Member, ...]] = {}
 
     def plan(self, group: ServedGroup) -> HomePlan:
         """Return how a group's connections are split among homes.
@@ -37,7 +37,7 @@
         regions = {one.region for one in members.values()}
         return plan_homes(group.connection_limit, len(members), len(regions))
 
-    def order(self, group: ServedGroup) -> tuple[Member, ...]:
+    def ranked_members(self, group: ServedGroup) -> tuple[Member, ...]:
         """Return the VMs of this region, ranked as homes of a group.
 
         Args:
@@ -46,8 +46,8 @@
         members = self.rows.members
         if members is not self.cached_members:
             self.cached_members = members
-            self.cached_orders = {}
-        found = self.cached_orders.get(group.name)
+            self.cached_rankings = {}
+        found = self.cached_rankings.get(group.name)
         if found is None:
             region = self.rows.own.region
             region_members = [
@@ -56,7 +56,7 @@
             found = region_homes(
                 group.name, region_members, len(region_members)
             )
-            self.cached_orders[group.name] = found
+            self.cached_rankings[group.name] = found
         return found
 
     def is_home(self, group: ServedGroup) -> bool:
@@ -68,7 +68,7 @@
         plan = self.plan(group)
         if plan.on_every_vm:
             return True
-        homes = self.order(group)[: plan.per_region]
+        homes = self.ranked_members(group)[: plan.per_region]
         return any(one.vm == self.rows.own.vm for one in homes)
 
     def forwarding_targets(self, group: ServedGroup) -> list[Member]:
@@ -83,11 +83,11 @@
         """
         own = self.rows.own
         plan = self.plan(group)
-        order = self.order(group)
+        ranked_members = self.ranked_members(group)
 
         def preference(member: Member) -> tuple[bool, int]:
             in_other_data_center = member.data_center != own.data_center
             return in_other_data_center, -vm_weight(own.vm, member.vm)
 
-        homes = sorted(order[: plan.per_region], key=preference)
-        return [*homes, *order[plan.per_region : 2 * plan.per_region]]
+        homes = sorted(ranked_members[: plan.per_region], key=preference)
+        return [*homes, *ranked_members[plan.per_region : 2 * plan.per_region]]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_publisher.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_publisher.py
@@ -73,11 +73,11 @@
           subscriber: The proxy's connection.
           tables: The tables' names; unknown ones are ignored.
         """
-        known = self.subscribers.setdefault(subscriber, set())
-        for table in sorted(set(tables) & self.followers.keys() - known):
-            known.add(table)
+        subscribed = self.subscribers.setdefault(subscriber, set())
+        for table in sorted(set(tables) & self.followers.keys() - subscribed):
+            subscribed.add(table)
             self.send_image(subscriber, self.followers[table])
-        self.send_heartbeat(subscriber, known)
+        self.send_heartbeat(subscriber, subscribed)
 
     def unsubscribe(self, subscriber: Subscriber) -> None:
         """Remove a proxy whose connection has ended.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
@@ -77,8 +77,8 @@
         members = self.members.members
         if members is not self.cached_members:
             self.cached_members = members
-            cached_upstreams = upstream_vms(self.members.own, members.values())
-            self.cached_upstreams = cached_upstreams[:MAX_UPSTREAMS]
+            candidates = upstream_vms(self.members.own, members.values())
+            self.cached_upstreams = candidates[:MAX_UPSTREAMS]
         return self.cached_upstreams
 
     def streams(self) -> list[HomeStream]:
