--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
@@ -28,7 +28,7 @@
 RENEW_SECONDS = 60.0
 RENEW_JITTER = 0.2
 STALE_SECONDS = 3 * RENEW_SECONDS
-# Mean delay before a failed write is retried. A few hundred VMs may retry at
+# Mean delay before a failed write is retried. About a hundred VMs may retry at
 # once, so the delay is randomized.
 RETRY_SECONDS = 3.0
 
@@ -40,7 +40,7 @@
     Attributes:
       member: The VM.
       written_at: When the row was written, in seconds on the store's clock.
-      revision: The store's version of the row.
+      revision: The revision of the row in the store.
     """
 
     member: Member
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
@@ -21,8 +21,8 @@
 CHECK_SECONDS = 0.5
 # Twice the interval of heartbeats, and half of it for delivery.
 HEARTBEAT_TIMEOUT_SECONDS = 1.25
-# A VM that sends no heartbeat in this time after a subscription has upstream
-# VMs itself.
+# A VM that sends no heartbeat in this time after a subscription relies on
+# upstream VMs itself and cannot serve as one.
 SUBSCRIBE_TIMEOUT_SECONDS = 1.0
 
 
