--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/__init__.py
@@ -8,7 +8,7 @@
     ConnectionSet,
     ConnectionState,
 )
-from jackdawcrank_policy.budget.seats import (
+from jackdawcrank_policy.budget.quotas import (
     QUOTA_COUNT,
     assign_quotas,
     departed_vms,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/connection_budget.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/budget/connection_budget.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from jackdawcrank_policy.budget.seats import (
+from jackdawcrank_policy.budget.quotas import (
     QUOTA_COUNT,
     departed_vms,
     quota_size,
--- a/packages/jackdawcrank-policy/src/jackdawcrank_policy/floors/__init__.py
+++ b/packages/jackdawcrank-policy/src/jackdawcrank_policy/watermarks/__init__.py
@@ -1,6 +1,6 @@
 """Watermarks that prove how fresh a replica's data is."""
 
-from jackdawcrank_policy.floors.floor_history import (
+from jackdawcrank_policy.watermarks.watermark_history import (
     Watermark,
     WatermarkHistory,
 )
--- a/packages/jackdawcrank-policy/tests/floors/test_floor_history.py
+++ b/packages/jackdawcrank-policy/tests/watermarks/test_watermark_history.py
@@ -1,5 +1,5 @@
-from jackdawcrank_policy.floors import WatermarkHistory
 from jackdawcrank_policy.values.position import Position
+from jackdawcrank_policy.watermarks import WatermarkHistory
 
 
 def history(*answers: tuple[float, int]) -> WatermarkHistory:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -12,7 +12,6 @@
 from jackdawcrank.relay.store_contact import StoreContact
 from jackdawcrank.seams.server_link import LinkOpener, OpenFailure
 from jackdawcrank_policy.catalog import ListedServer, ServedGroup
-from jackdawcrank_policy.floors import WatermarkHistory
 from jackdawcrank_policy.placement import (
     Distance,
     ServerCandidate,
@@ -24,6 +23,7 @@
     SwitchoverTrigger,
 )
 from jackdawcrank_policy.values.position import Position
+from jackdawcrank_policy.watermarks import WatermarkHistory
 
 # A floor is renewed at half of the age that it may have, so that even one that
 # takes a round trip between regions (80 ms) to get comes in time.
