--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from jackdawcrank.decisions import DecisionLog
-from jackdawcrank.relay.group_relay import GroupRelay, Whereabouts
+from jackdawcrank.relay.group_relay import GroupRelay, ProxyLocation
 from jackdawcrank.relay.homes import Homes
 from jackdawcrank.relay.store_contact import StoreContact
 from jackdawcrank.seams.declaration_source import DeclarationFormat
@@ -40,7 +40,7 @@
         self,
         form: DeclarationFormat,
         opener: LinkOpener,
-        whereabouts: Whereabouts,
+        whereabouts: ProxyLocation,
         contact: StoreContact,
         homes: Homes,
         log: DecisionLog,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
@@ -26,17 +26,17 @@
 
 
 def setup_commands(
-    link: ServerLink, memory: SessionContext, execution: Execution | None
+    link: ServerLink, context: SessionContext, execution: Execution | None
 ) -> list[Command]:
     """Return what makes a link fit a session, and note it as done.
 
     Args:
       link: The link that the commands will be sent on.
-      memory: What the session has set up.
+      context: What the session has set up.
       execution: What is to run next, if anything.
     """
     prepared = execution.prepared if execution else None
-    return [*link.memory.plan_setup(memory, prepared)]
+    return [*link.memory.plan_setup(context, prepared)]
 
 
 def forward_command(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/full_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/full_server.py
@@ -3,16 +3,16 @@
 import random
 
 # A slot is free again after about the mean work of 30 ms.
-FIRST_PAUSE_SECONDS = 0.03
+FIRST_BACKOFF_SECONDS = 0.03
 # A full server's queue (24 to 48 statements) is worked off in about this time.
-LONGEST_PAUSE_SECONDS = 0.25
+LONGEST_BACKOFF_SECONDS = 0.25
 
 
-def pause_seconds(refusals: int) -> float:
+def refusal_backoff_seconds(refusals: int) -> float:
     """Return how long to wait before asking a full server again.
 
     Args:
       refusals: Refusals of this statement before, from 0.
     """
-    longest = min(LONGEST_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * 2.0**refusals)
-    return longest * random.uniform(0.5, 1.5)
+    base = min(LONGEST_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2.0**refusals)
+    return base * random.uniform(0.5, 1.5)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -7,8 +7,8 @@
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.clocks import boot_seconds
 from jackdawcrank.relay.homes import Homes
-from jackdawcrank.relay.server_lane import OPEN_TIMEOUT_SECONDS, ServerLane
-from jackdawcrank.relay.server_questions import ServerQuestions
+from jackdawcrank.relay.server_lane import OPEN_TIMEOUT_SECONDS, ConnectionPool
+from jackdawcrank.relay.server_questions import ControlCommands
 from jackdawcrank.relay.store_contact import StoreContact
 from jackdawcrank.seams.server_link import LinkOpener, OpenFailure
 from jackdawcrank_policy.catalog import ListedServer, ServedGroup
@@ -30,18 +30,18 @@
 REFRESH_SHARE = 0.5
 # Longer than that round trip and a handshake; then the read goes to the
 # primary itself.
-FLOOR_WAIT_SECONDS = 0.3
+WATERMARK_WAIT_SECONDS = 0.3
 # Statements that all homes together give a server at first, for each of its
 # slots: while one runs, the next is on its way.
 SLOT_WINDOW = 2.0
 # A server that crashed is back within seconds on our users' sites (7 s at
 # most); one that is gone for this long is gone for good.
-RETURN_SECONDS = 30.0
+MISSING_SERVER_SECONDS = 30.0
 # How soon a waiting statement notices that a primary answers again.
-LOOK_AGAIN_SECONDS = 0.1
+PRIMARY_POLL_SECONDS = 0.1
 
 
-class Whereabouts:
+class ProxyLocation:
     """Tells how far servers are from this proxy.
 
     Attributes:
@@ -61,8 +61,11 @@
         """
         if data_center == self.data_center:
             return Distance.DATA_CENTER
-        here = self.regions.get(self.data_center)
-        if here is not None and self.regions.get(data_center) == here:
+        own_region = self.regions.get(self.data_center)
+        if (
+            own_region is not None
+            and self.regions.get(data_center) == own_region
+        ):
             return Distance.REGION
         return Distance.ELSEWHERE
 
@@ -72,7 +75,7 @@
 
     Attributes:
       name: The group's name.
-      lanes: The connections by server.
+      pools: The connections by server.
       declared_version: The configuration in force.
       watermarks: Positions that prove freshness.
       questions: Asks the group's servers.
@@ -93,7 +96,7 @@
         self,
         group: ServedGroup,
         opener: LinkOpener,
-        whereabouts: Whereabouts,
+        proxy_location: ProxyLocation,
         contact: StoreContact,
         homes: Homes,
         log: DecisionLog,
@@ -103,22 +106,22 @@
         self.group = group
         self.name = group.name
         self.opener = opener
-        self.whereabouts = whereabouts
+        self.proxy_location = proxy_location
         self.log = log
-        self.lanes: dict[str, ServerLane] = {}
+        self.pools: dict[str, ConnectionPool] = {}
         self.declared_version = 0
         self.watermarks = WatermarkHistory()
-        self.questions = ServerQuestions(self)
+        self.control = ControlCommands(self)
         self.refreshing: asyncio.Task[None] | None = None
-        self.doubt = PrimarySuspicion()
+        self.suspicion = PrimarySuspicion()
         self.primary_id: str | None = None
-        self.lead_since: dict[str, int] = {}
-        self.disowned: dict[str, int] = {}
-        self.departed: dict[str, float] = {}
+        self.primary_since: dict[str, int] = {}
+        self.not_primary_revisions: dict[str, int] = {}
+        self.missing_servers: dict[str, float] = {}
         self.last_primary_id: str | None = None
         self.changed = asyncio.Event()
         self.loop = asyncio.get_running_loop()
-        self.relief = SwitchoverTrigger(self.loop.time())
+        self.switchover_trigger = SwitchoverTrigger(self.loop.time())
 
     def apply_servers(self, servers: Iterable[ListedServer]) -> None:
         """Take in the servers that the group has now.
@@ -127,18 +130,18 @@
           servers: All of them, as they last reported themselves.
         """
         listed = {one.server_id: one for one in servers}
-        for server_id, lane in list(self.lanes.items()):
+        for server_id, pool in list(self.pools.items()):
             server = listed.get(server_id)
-            if server is None or not server.same_process(lane.server):
-                lane.retire()
-                del self.lanes[server_id]
-                if not lane.server.leaving:
-                    self.departed[server_id] = self.loop.time()
-                self.lead_since.pop(server_id, None)
+            if server is None or not server.same_process(pool.server):
+                pool.retire()
+                del self.pools[server_id]
+                if not pool.server.leaving:
+                    self.missing_servers[server_id] = self.loop.time()
+                self.primary_since.pop(server_id, None)
                 self.log.event("server_gone", group=self.name, server=server_id)
         for server in listed.values():
             self.apply_server(server)
-        self.settle_primary()
+        self.update_primary()
 
     def apply_server(self, server: ListedServer) -> None:
         """Take in one server's report.
@@ -146,9 +149,9 @@
         Args:
           server: The report.
         """
-        lane = self.lanes.get(server.server_id)
-        if lane is None:
-            lane = ServerLane(
+        pool = self.pools.get(server.server_id)
+        if pool is None:
+            pool = ConnectionPool(
                 server,
                 self.opener,
                 self.connection_limit(),
@@ -156,7 +159,7 @@
                 self.log,
                 functools.partial(self.idle_link_lost, server.server_id),
             )
-            self.lanes[server.server_id] = lane
+            self.pools[server.server_id] = pool
             self.log.event(
                 "server_listed",
                 group=self.name,
@@ -165,7 +168,7 @@
                 leaving=server.leaving,
                 revision=server.revision,
             )
-        elif lane.server != server:
+        elif pool.server != server:
             self.log.event(
                 "server_reported",
                 group=self.name,
@@ -174,24 +177,25 @@
                 leaving=server.leaving,
                 revision=server.revision,
             )
-        lane.server = server
+        pool.server = server
         if not server.reports_primary:
-            self.lead_since.pop(server.server_id, None)
+            self.primary_since.pop(server.server_id, None)
         else:
-            self.lead_since.setdefault(server.server_id, server.revision)
+            self.primary_since.setdefault(server.server_id, server.revision)
 
     def connection_limit(self) -> int:
         """Return the connections of one server that this proxy may hold."""
         return self.homes.plan(self.group).connections
 
-    def settle_primary(self) -> None:
+    def update_primary(self) -> None:
         """Decide which server leads, from reports and answers."""
-        claims = [
+        candidates = [
             (since, server_id)
-            for server_id, since in self.lead_since.items()
-            if self.disowned.get(server_id) != self.revision(server_id)
+            for server_id, since in self.primary_since.items()
+            if self.not_primary_revisions.get(server_id)
+            != self.revision(server_id)
         ]
-        primary = max(claims)[1] if claims else None
+        primary = max(candidates)[1] if candidates else None
         self.set_primary(primary)
 
     def revision(self, server_id: str) -> int:
@@ -200,7 +204,7 @@
         Args:
           server_id: A listed server.
         """
-        return self.lanes[server_id].server.revision
+        return self.pools[server_id].server.revision
 
     def set_primary(self, server_id: str | None) -> None:
         """Make a server the present primary.
@@ -217,25 +221,27 @@
             new=server_id,
         )
         if server_id and self.last_primary_id not in (None, server_id):
-            self.relief.primary_replaced(self.loop.time())
+            self.switchover_trigger.primary_replaced(self.loop.time())
         self.primary_id = server_id
         self.last_primary_id = server_id or self.last_primary_id
-        self.doubt = PrimarySuspicion()
+        self.suspicion = PrimarySuspicion()
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def unaccounted(self) -> list[str]:
+    def recently_missing(self) -> list[str]:
         """Return servers that may be back any moment, unknown to the list.
 
         One of them may already confirm commits of a living primary.
         """
-        oldest = self.loop.time() - RETURN_SECONDS
-        self.departed = {
+        oldest = self.loop.time() - MISSING_SERVER_SECONDS
+        self.missing_servers = {
             server_id: since
-            for server_id, since in self.departed.items()
-            if since >= oldest and server_id not in self.lanes
+            for server_id, since in self.missing_servers.items()
+            if since >= oldest and server_id not in self.pools
         }
-        return [one for one in self.departed if one != self.last_primary_id]
+        return [
+            one for one in self.missing_servers if one != self.last_primary_id
+        ]
 
     def promoted(self, server_id: str) -> None:
         """Take in that the authority named a new primary.
@@ -243,35 +249,35 @@
         Args:
           server_id: The new primary.
         """
-        if server_id not in self.lanes:
+        if server_id not in self.pools:
             return
-        newest = max(self.lead_since.values(), default=0)
-        self.lead_since[server_id] = newest + 1
-        self.disowned.pop(server_id, None)
-        self.settle_primary()
+        newest = max(self.primary_since.values(), default=0)
+        self.primary_since[server_id] = newest + 1
+        self.not_primary_revisions.pop(server_id, None)
+        self.update_primary()
 
-    def disown(self, lane: ServerLane) -> None:
+    def mark_not_primary(self, pool: ConnectionPool) -> None:
         """Take in that a server answered that it does not lead.
 
         Args:
-          lane: Its connections.
+          pool: Its connections.
         """
-        server = lane.server
+        server = pool.server
         self.log.event(
             "not_primary",
             group=self.name,
             server=server.server_id,
             revision=server.revision,
         )
-        self.disowned[server.server_id] = server.revision
-        self.lead_since.pop(server.server_id, None)
-        self.settle_primary()
+        self.not_primary_revisions[server.server_id] = server.revision
+        self.primary_since.pop(server.server_id, None)
+        self.update_primary()
 
-    def primary_lane(self) -> ServerLane | None:
+    def primary_pool(self) -> ConnectionPool | None:
         """Return the connections of the present primary, or None."""
-        return self.lanes.get(self.primary_id) if self.primary_id else None
+        return self.pools.get(self.primary_id) if self.primary_id else None
 
-    async def wait_for_primary(self, deadline: float) -> ServerLane | None:
+    async def wait_for_primary(self, deadline: float) -> ConnectionPool | None:
         """Return a primary's lane, waiting while one is being replaced.
 
         Without the store no proxy here can replace it, and none elsewhere
@@ -281,36 +287,36 @@
           deadline: When to give up, in seconds on the loop's clock.
         """
         while True:
-            lane = self.usable_primary()
-            if lane is not None:
-                return lane
+            pool = self.usable_primary()
+            if pool is not None:
+                return pool
             now = self.loop.time()
             if self.contact.lost or now >= deadline:
                 return None
             changed = self.changed
             try:
                 async with asyncio.timeout_at(
-                    min(deadline, now + LOOK_AGAIN_SECONDS)
+                    min(deadline, now + PRIMARY_POLL_SECONDS)
                 ):
                     await changed.wait()
             except TimeoutError:
                 continue
 
-    def usable_primary(self) -> ServerLane | None:
+    def usable_primary(self) -> ConnectionPool | None:
         """Return the primary's lane unless it is taken to be lost."""
-        lane = self.primary_lane()
-        if lane is None:
+        pool = self.primary_pool()
+        if pool is None:
             return None
-        doubt = self.doubt.suspected_failure(self.loop.time())
+        suspicion = self.suspicion.suspected_failure(self.loop.time())
         return (
-            lane
-            if doubt in (FailureKind.NONE, FailureKind.UNCONFIRMED)
+            pool
+            if suspicion in (FailureKind.NONE, FailureKind.UNCONFIRMED)
             else None
         )
 
     def note_lost(
         self,
-        lane: ServerLane,
+        pool: ConnectionPool,
         silent: bool,
         sent_at: float,
         wrote: bool = False,
@@ -318,19 +324,19 @@
         """Take in a statement whose answer did not come.
 
         Args:
-          lane: Where it was sent.
+          pool: Where it was sent.
           silent: Whether the connection stood all the while.
           sent_at: When it was sent, in seconds on the loop's clock.
           wrote: Whether it waited for replicas to confirm a commit.
         """
-        if lane is not self.primary_lane():
+        if pool is not self.primary_pool():
             return
         if not silent:
-            self.doubt.connection_refused(self.loop.time())
+            self.suspicion.connection_refused(self.loop.time())
         elif wrote:
-            self.doubt.write_unconfirmed(sent_at)
+            self.suspicion.write_unconfirmed(sent_at)
         else:
-            self.doubt.request_timed_out(sent_at)
+            self.suspicion.request_timed_out(sent_at)
 
     def idle_link_lost(self, server_id: str) -> None:
         """Take in that a server ended a connection that nobody used.
@@ -338,28 +344,30 @@
         Args:
           server_id: The server.
         """
-        lane = self.lanes.get(server_id)
-        if lane is not None:
-            self.note_lost(lane, silent=False, sent_at=self.loop.time())
+        pool = self.pools.get(server_id)
+        if pool is not None:
+            self.note_lost(pool, silent=False, sent_at=self.loop.time())
 
-    def note_unreachable(self, lane: ServerLane, failure: OpenFailure) -> None:
+    def note_unreachable(
+        self, pool: ConnectionPool, failure: OpenFailure
+    ) -> None:
         """Take in that no connection could be made.
 
         Args:
-          lane: Where to.
+          pool: Where to.
           failure: Why not.
         """
-        if lane is not self.primary_lane():
+        if pool is not self.primary_pool():
             return
         now = self.loop.time()
         if failure is OpenFailure.SILENT:
-            self.doubt.request_timed_out(now - OPEN_TIMEOUT_SECONDS)
+            self.suspicion.request_timed_out(now - OPEN_TIMEOUT_SECONDS)
         elif failure is not OpenFailure.FULL:
-            self.doubt.connection_refused(now)
+            self.suspicion.connection_refused(now)
 
-    def read_lane(
+    def choose_read_pool(
         self, now: float, needed: Position | None, excluded: set[str]
-    ) -> ServerLane | None:
+    ) -> ConnectionPool | None:
         """Return where a read with a position should go, or None.
 
         Args:
@@ -369,32 +377,32 @@
         """
         chosen = choose_server(
             [
-                self.candidate(lane)
-                for lane in self.lanes.values()
-                if not lane.server.leaving
-                and lane.server.server_id not in excluded
+                self.candidate(pool)
+                for pool in self.pools.values()
+                if not pool.server.leaving
+                and pool.server.server_id not in excluded
             ],
             now,
             needed,
             self.primary_id,
         )
-        return self.lanes[chosen] if chosen else None
+        return self.pools[chosen] if chosen else None
 
-    def candidate(self, lane: ServerLane) -> ServerCandidate:
+    def candidate(self, pool: ConnectionPool) -> ServerCandidate:
         """Return a lane's server as the placement sees it.
 
         Args:
-          lane: The lane.
+          pool: The lane.
         """
         return ServerCandidate(
-            lane.server.server_id,
-            self.whereabouts.distance(lane.server.data_center),
-            lane.server.slots,
-            lane.condition,
-            lane.line.length + lane.gate.line.length,
+            pool.server.server_id,
+            self.proxy_location.distance(pool.server.data_center),
+            pool.server.slots,
+            pool.condition,
+            pool.queue.length + pool.limiter.queue.length,
         )
 
-    async def floor(self, max_age: float) -> Position | None:
+    async def watermark(self, max_age: float) -> Position | None:
         """Return a position that proves an age, or None.
 
         The primary is asked for a new one before the newest is too old, so
@@ -406,23 +414,25 @@
         newest = self.watermarks.newest()
         now = boot_seconds()
         if newest is None or now - newest.asked_at > max_age * REFRESH_SHARE:
-            self.refresh_floor()
-        floor = self.watermarks.oldest_within(now, max_age)
-        if floor is None and self.refreshing is not None:
-            await asyncio.wait([self.refreshing], timeout=FLOOR_WAIT_SECONDS)
-            floor = self.watermarks.oldest_within(boot_seconds(), max_age)
-        return floor.position if floor else None
-
-    def refresh_floor(self) -> None:
+            self.refresh_watermark()
+        watermark = self.watermarks.oldest_within(now, max_age)
+        if watermark is None and self.refreshing is not None:
+            await asyncio.wait(
+                [self.refreshing], timeout=WATERMARK_WAIT_SECONDS
+            )
+            watermark = self.watermarks.oldest_within(boot_seconds(), max_age)
+        return watermark.position if watermark else None
+
+    def refresh_watermark(self) -> None:
         """Ask the primary for a floor, unless that is under way."""
-        lane = self.usable_primary()
-        if lane is None or self.refreshing or not lane.has_spare_link():
+        pool = self.usable_primary()
+        if pool is None or self.refreshing or not pool.has_spare_link():
             return
-        self.refreshing = self.loop.create_task(self.ask_for_floor(lane))
+        self.refreshing = self.loop.create_task(self.fetch_watermark(pool))
 
-    async def ask_for_floor(self, lane: ServerLane) -> None:
+    async def fetch_watermark(self, pool: ConnectionPool) -> None:
         """Ask a server that should lead where its log ends."""
         try:
-            await self.questions.leads(lane)
+            await self.control.check_primary(pool)
         finally:
             self.refreshing = None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -9,8 +9,8 @@
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.claim_rows import ClaimRows, HeldClaim
 from jackdawcrank.relay.group_relay import GroupRelay
-from jackdawcrank.relay.server_lane import ServerLane
-from jackdawcrank.relay.server_questions import Questioned
+from jackdawcrank.relay.server_lane import ConnectionPool
+from jackdawcrank.relay.server_questions import StatusResult
 from jackdawcrank.seams.commands import (
     AskStatus,
     Freeze,
@@ -91,7 +91,7 @@
         rng: random.Random,
     ) -> None:
         self.group = group
-        self.questions = group.questions
+        self.questions = group.control
         self.vm = vm
         self.process = process
         self.claims = claims
@@ -112,10 +112,10 @@
         reason = self.reason()
         if reason is not None:
             self.begin(self.replace(reason))
-        elif self.group.primary_lane() is None:
-            if self.group.lanes:
+        elif self.group.primary_pool() is None:
+            if self.group.pools:
                 self.begin(self.look_again())
-        elif self.group.doubt.has_evidence():
+        elif self.group.suspicion.has_evidence():
             self.begin(self.question_primary())
 
     def begin(self, work: Work) -> None:
@@ -141,9 +141,9 @@
     def reason(self) -> str | None:
         """Return why the primary must be replaced, or None."""
         now = self.loop.time()
-        lane = self.group.primary_lane()
+        lane = self.group.primary_pool()
         if lane is None:
-            if not self.group.lanes:
+            if not self.group.pools:
                 return None
             if self.primary_missing_since is None:
                 self.primary_missing_since = now
@@ -152,10 +152,12 @@
         self.primary_missing_since = None
         if lane.server.leaving:
             return LEAVING
-        doubt = self.group.doubt.suspected_failure(now)
-        if doubt is not FailureKind.NONE:
-            return str(doubt.value)
-        if self.group.relief.lag_check_due(now, lane.full_for()):
+        suspicion = self.group.suspicion.suspected_failure(now)
+        if suspicion is not FailureKind.NONE:
+            return str(suspicion.value)
+        if self.group.switchover_trigger.lag_check_due(
+            now, lane.queue_nonempty_seconds()
+        ):
             return REPLICAS_LAG
         return None
 
@@ -166,11 +168,11 @@
 
     async def question_primary(self) -> None:
         """Find out whether a primary in doubt answers."""
-        lane = self.group.primary_lane()
+        lane = self.group.primary_pool()
         if lane is None:
             return
         start = self.loop.time()
-        await self.questions.leads(lane)
+        await self.questions.check_primary(lane)
         self.not_before = start + 2 * POLL_SECONDS
 
     async def replace(self, reason: str) -> None:
@@ -184,16 +186,20 @@
             return
         if reason == MISSING and await self.look_for_primary():
             return
-        old = self.group.primary_lane()
+        old = self.group.primary_pool()
         old_id = old.server.server_id if old else ""
         if reason == FailureKind.UNCONFIRMED.value and await self.keeps_up():
-            self.group.doubt.commit_acknowledged()
+            self.group.suspicion.commit_acknowledged()
             return
         if reason == REPLICAS_LAG and not await self.all_lag():
             self.not_before = self.loop.time() + RETRY_SECONDS
             return
         lost = reason in (FailureKind.SILENT.value, FailureKind.REFUSING.value)
-        if lost and old is not None and (await self.questions.leads(old)).alive:
+        if (
+            lost
+            and old is not None
+            and (await self.questions.check_primary(old)).alive
+        ):
             return
         granted = await self.claims.claim(self.group.name, self.process, old_id)
         if granted is None:
@@ -234,14 +240,14 @@
 
     async def replicas_kept_up(self) -> list[ServerStatus]:
         """Return the replicas that have received what the primary had."""
-        primary = self.group.primary_lane()
+        primary = self.group.primary_pool()
         if primary is None:
             return []
-        first = await self.questions.ask(primary, AskStatus())
+        first = await self.questions.send_command(primary, AskStatus())
         if first.status is None:
             return []
         replicas = self.replicas(primary)
-        answers = await self.questions.ask_all(replicas, AskStatus())
+        answers = await self.questions.send_to_all(replicas, AskStatus())
         return [
             one.status
             for one in answers
@@ -249,15 +255,15 @@
             and one.status.received >= first.status.received
         ]
 
-    def replicas(self, primary: ServerLane | None) -> list[ServerLane]:
-        """Return the lanes of all servers but one."""
-        return [one for one in self.group.lanes.values() if one is not primary]
+    def replicas(self, primary: ConnectionPool | None) -> list[ConnectionPool]:
+        """Return the pools of all servers but one."""
+        return [one for one in self.group.pools.values() if one is not primary]
 
     def next_term(self) -> int:
         """Return a term above every one that this proxy knows of."""
         terms = [
             one.condition.position.term
-            for one in self.group.lanes.values()
+            for one in self.group.pools.values()
             if one.condition.position
         ]
         newest = self.group.watermarks.newest()
@@ -266,7 +272,7 @@
         return max(terms, default=0) + 1
 
     async def take_over(
-        self, granted: HeldClaim, old: ServerLane | None
+        self, granted: HeldClaim, old: ConnectionPool | None
     ) -> "Result":
         """Freeze the replicas and promote the most advanced one.
 
@@ -278,20 +284,20 @@
         replicas = self.replicas(old)
         if await self.adopt_leader(replicas):
             return Result.NOTHING_DONE
-        answers = await self.questions.ask_all(replicas, AskStatus())
+        answers = await self.questions.send_to_all(replicas, AskStatus())
         term = max(
             [self.next_term()]
             + [one.status.term + 1 for one in answers if one.status]
         )
-        answers = await self.questions.ask_all(replicas, Freeze(term))
+        answers = await self.questions.send_to_all(replicas, Freeze(term))
         choice = choose_successor(
             [
                 FrozenServer(
-                    one.lane.server.server_id,
+                    one.pool.server.server_id,
                     one.status.received,
-                    one.lane.server.leaving,
-                    self.group.whereabouts.distance(
-                        one.lane.server.data_center
+                    one.pool.server.leaving,
+                    self.group.proxy_location.distance(
+                        one.pool.server.data_center
                     ),
                 )
                 for one in answers
@@ -299,7 +305,7 @@
             ],
             [
                 *(one.server.server_id for one in replicas),
-                *self.group.unaccounted(),
+                *self.group.recently_missing(),
             ],
             self.group.group.confirming_replicas,
         )
@@ -326,14 +332,14 @@
         )
         return await self.order(claim, choice.server_id, answers)
 
-    async def thaw(self, frozen: list[Questioned]) -> None:
+    async def thaw(self, frozen: list[StatusResult]) -> None:
         """Let frozen replicas receive again."""
-        await self.questions.ask_all(
-            [one.lane for one in frozen if one.status is not None], Thaw()
+        await self.questions.send_to_all(
+            [one.pool for one in frozen if one.status is not None], Thaw()
         )
 
     async def order(
-        self, claim: Claim, server_id: str, frozen: list[Questioned]
+        self, claim: Claim, server_id: str, frozen: list[StatusResult]
     ) -> "Result":
         """Have a server promoted; repeat the order until it is answered.
 
@@ -366,7 +372,7 @@
             await asyncio.sleep(2 * POLL_SECONDS)
 
     async def see_through(
-        self, server_id: str, frozen: list[Questioned]
+        self, server_id: str, frozen: list[StatusResult]
     ) -> "Result":
         """Wait until a promoted server leads; then thaw the others.
 
@@ -379,14 +385,14 @@
           frozen: The replicas that wait for it.
         """
         give_up_at = self.loop.time() + EFFECT_SECONDS
-        lane = self.group.lanes.get(server_id)
+        lane = self.group.pools.get(server_id)
         while lane is not None and self.loop.time() < give_up_at:
-            if (await self.questions.leads(lane)).leads:
+            if (await self.questions.check_primary(lane)).is_primary:
                 self.group.promoted(server_id)
-                await self.thaw([one for one in frozen if one.lane is not lane])
+                await self.thaw([one for one in frozen if one.pool is not lane])
                 return Result.DONE
             await asyncio.sleep(POLL_SECONDS)
-            lane = self.group.lanes.get(server_id)
+            lane = self.group.pools.get(server_id)
         self.log.event(
             "promotion_without_effect",
             group=self.group.name,
@@ -399,45 +405,47 @@
 
         Their reports in the store may be late or out of reach.
         """
-        return await self.adopt_leader(list(self.group.lanes.values()))
+        return await self.adopt_leader(list(self.group.pools.values()))
 
-    async def adopt_leader(self, lanes: list[ServerLane]) -> bool:
+    async def adopt_leader(self, pools: list[ConnectionPool]) -> bool:
         """Make a server that leads the primary; return whether one does.
 
         Args:
-          lanes: The servers to ask.
+          pools: The servers to ask.
         """
-        answers = await self.questions.leads_all(lanes)
+        answers = await self.questions.check_primaries(pools)
         leading = [
-            (one.term, one.lane.server.server_id)
+            (one.term, one.pool.server.server_id)
             for one in answers
-            if one.leads
+            if one.is_primary
         ]
         if not leading:
             return False
         self.group.promoted(max(leading)[1])
         return True
 
-    async def hand_over(self, granted: HeldClaim, old: ServerLane) -> "Result":
+    async def hand_over(
+        self, granted: HeldClaim, old: ConnectionPool
+    ) -> "Result":
         """Move the lead of a primary that answers.
 
         Args:
           granted: The right to do so.
           old: The primary.
         """
-        first = await self.questions.leads(old)
-        if first.alive and not first.leads:
+        first = await self.questions.check_primary(old)
+        if first.alive and not first.is_primary:
             # Somebody else has moved it meanwhile.
             await self.look_for_primary()
             return Result.NOTHING_DONE
         staying = [one for one in self.replicas(old) if not one.server.leaving]
-        answers = await self.questions.ask_all(staying, AskStatus())
+        answers = await self.questions.send_to_all(staying, AskStatus())
         if not any(one.status for one in answers):
             self.log.event("no_successor", group=self.group.name, missing=())
             return Result.NOTHING_DONE
         terms = [one.status.term + 1 for one in answers if one.status]
         term = max([self.next_term(), *terms])
-        stepped = await self.questions.ask(old, StepDown(term))
+        stepped = await self.questions.send_command(old, StepDown(term))
         if stepped.status is None:
             return await self.take_over(granted, old)
         final = stepped.status.received
@@ -450,21 +458,21 @@
         return await self.order(granted.claim, server_id, [])
 
     async def wait_for_position(
-        self, lanes: list[ServerLane], position: Position
+        self, pools: list[ConnectionPool], position: Position
     ) -> str | None:
         """Return the first server that has received a position, or None."""
         give_up_at = self.loop.time() + CATCH_UP_SECONDS
         while self.loop.time() < give_up_at:
-            answers = await self.questions.ask_all(lanes, AskStatus())
+            answers = await self.questions.send_to_all(pools, AskStatus())
             able = [
-                one.lane
+                one.pool
                 for one in answers
                 if one.status and one.status.received >= position
             ]
             if able:
                 nearest = min(
                     able,
-                    key=lambda one: self.group.whereabouts.distance(
+                    key=lambda one: self.group.proxy_location.distance(
                         one.server.data_center
                     ),
                 )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/lane_care.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/lane_care.py
@@ -2,16 +2,16 @@
 
 from jackdawcrank.relay.directory import Directory
 from jackdawcrank.relay.group_relay import GroupRelay
-from jackdawcrank.relay.server_lane import ServerLane
+from jackdawcrank.relay.server_lane import ConnectionPool
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
 from jackdawcrank_policy.placement import Distance
 
 # Idle connections are few and cheap; once a second is soon enough.
-CARE_SECONDS = 1.0
+MAINTENANCE_SECONDS = 1.0
 
 
-class LaneCare:
+class PoolMaintenance:
     """Opens connections ahead of use and closes those nobody needs.
 
     Attributes:
@@ -28,33 +28,35 @@
         Args:
           timer: Calls back.
         """
-        self.subscription = timer.subscribe("lanes", CARE_SECONDS, self.care)
+        self.subscription = timer.subscribe(
+            "lanes", MAINTENANCE_SECONDS, self.maintain
+        )
 
-    async def care(self, _now: float) -> None:
+    async def maintain(self, _now: float) -> None:
         """Look at every lane.
 
         Args:
           _now: The timer's time.
         """
         for group in self.directory.groups.values():
-            for lane in group.lanes.values():
-                lane.limit = group.connection_limit()
-                lane.gate.window.max_size = lane.limit
+            for pool in group.pools.values():
+                pool.limit = group.connection_limit()
+                pool.limiter.window.max_size = pool.limit
                 if not group.homes.is_home(group.group):
                     # From the time when it took itself for a home.
-                    lane.drop_idle()
-                lane.trim(self.wanted(group, lane))
+                    pool.close_idle_links()
+                pool.trim(self.idle_target(group, pool))
 
-    def wanted(self, group: GroupRelay, lane: ServerLane) -> int:
+    def idle_target(self, group: GroupRelay, pool: ConnectionPool) -> int:
         """Return how many idle connections to keep.
 
         Args:
           group: The lane's group.
-          lane: The lane.
+          pool: The lane.
         """
-        if lane.server.leaving:
+        if pool.server.leaving:
             return 0
-        if lane is group.primary_lane():
+        if pool is group.primary_pool():
             return 1
-        near = group.whereabouts.distance(lane.server.data_center)
-        return 0 if near is Distance.ELSEWHERE else 1
+        distance = group.proxy_location.distance(pool.server.data_center)
+        return 0 if distance is Distance.ELSEWHERE else 1
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -12,8 +12,8 @@
     forward_command,
     setup_commands,
 )
-from jackdawcrank.relay.full_server import pause_seconds
-from jackdawcrank.relay.server_lane import ServerLane
+from jackdawcrank.relay.full_server import refusal_backoff_seconds
+from jackdawcrank.relay.server_lane import ConnectionPool
 from jackdawcrank.relay.session_view import SessionView
 from jackdawcrank.seams.commands import Command, ForwardCommit, UndoTransaction
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
@@ -47,7 +47,7 @@
     def __init__(
         self,
         group: "GroupRelay",
-        lane: ServerLane,
+        lane: ConnectionPool,
         link: ServerLink,
         on_primary: bool,
         timeout_seconds: float,
@@ -106,7 +106,7 @@
         """
         refusals = 0
         while True:
-            pause = pause_seconds(refusals)
+            pause = refusal_backoff_seconds(refusals)
             reply = await self.send_once(commands, deadline)
             if (
                 not isinstance(reply, Reply)
@@ -115,7 +115,7 @@
                 or self.loop.time() + pause >= deadline
             ):
                 return reply
-            self.lane.gate.refused()
+            self.lane.limiter.refused()
             await asyncio.sleep(pause)
             refusals += 1
             commands = commands[-1:]
@@ -124,7 +124,7 @@
         self, commands: list[Command], deadline: float
     ) -> Reply | NotSent | None:
         """Send commands when it is their turn; return the last reply."""
-        if not await self.lane.resume(self.link, deadline):
+        if not await self.lane.begin_statement(self.link, deadline):
             return NotSent()
         if self.ended:
             # Rolled back meanwhile; it must not run by itself.
@@ -135,14 +135,14 @@
             return await await_result(future, deadline)
         finally:
             self.running = False
-            self.lane.rest(self.link)
+            self.lane.end_statement(self.link)
 
     def answered(self, sent_at: float, start: float, reply: Reply) -> None:
         """Take in a server's answer."""
         condition = self.lane.condition
         condition.position_seen(reply.position)
         if reply.problem is Problem.NOT_PRIMARY:
-            self.group.disown(self.lane)
+            self.group.mark_not_primary(self.lane)
         elif reply.problem is None:
             condition.answered(self.loop.time() - start, self.loop.time())
             if self.on_primary:
@@ -150,7 +150,7 @@
                 # once it has lost the lead.
                 if reply.position:
                     self.group.watermarks.add(sent_at, reply.position)
-                self.group.doubt.answered()
+                self.group.suspicion.answered()
 
     def not_sent(self, request_id: str, start: float) -> Reply:
         """Roll back, since a statement's turn did not come."""
@@ -201,11 +201,11 @@
         self.note_commit(session.database, request_id, start, reply)
         if reply.problem is None and self.wrote:
             session.saw(reply.position)
-            self.group.doubt.commit_acknowledged()
+            self.group.suspicion.commit_acknowledged()
             if reply.position:
                 self.group.watermarks.add(sent_at, reply.position)
         elif reply.problem is Problem.NOT_PRIMARY:
-            self.group.disown(self.lane)
+            self.group.mark_not_primary(self.lane)
         return reply
 
     def note_commit(
@@ -283,7 +283,7 @@
 
 
 def give_back_after(
-    lane: ServerLane, link: ServerLink, future: asyncio.Future[Reply]
+    lane: ConnectionPool, link: ServerLink, future: asyncio.Future[Reply]
 ) -> None:
     """Give a connection back when its last command is answered.
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -9,12 +9,12 @@
 from jackdawcrank.relay.caller_session import CallerSession
 from jackdawcrank.relay.claim_rows import ClaimRows
 from jackdawcrank.relay.directory import Directory
-from jackdawcrank.relay.group_relay import Whereabouts
+from jackdawcrank.relay.group_relay import ProxyLocation
 from jackdawcrank.relay.home_router import HomeRouter
 from jackdawcrank.relay.home_server import HomeServer
 from jackdawcrank.relay.homes import Homes
 from jackdawcrank.relay.idle_transactions import IdleTransactions
-from jackdawcrank.relay.lane_care import LaneCare
+from jackdawcrank.relay.lane_care import PoolMaintenance
 from jackdawcrank.relay.leaving import Leaving
 from jackdawcrank.relay.member_rows import (
     MEMBERS_TABLE,
@@ -83,7 +83,7 @@
         self.directory = Directory(
             form,
             opener,
-            Whereabouts(settings.data_center, settings.regions),
+            ProxyLocation(settings.data_center, settings.regions),
             self.contact,
             self.homes,
             log,
@@ -159,7 +159,7 @@
             log,
             rng,
         )
-        self.lane_care = LaneCare(self.directory)
+        self.lane_care = PoolMaintenance(self.directory)
         self.idle_transactions = IdleTransactions(self.directory, front, log)
         self.leaving = Leaving(
             front, self.home_server, settings.stop_grace_seconds, log
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
@@ -9,8 +9,8 @@
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.statement_gate import (
     TRANSACTION_PRIORITY,
-    Entry,
-    StatementGate,
+    LimiterResult,
+    StatementLimiter,
 )
 from jackdawcrank.seams.replies import SessionState
 from jackdawcrank.seams.server_link import (
@@ -42,11 +42,11 @@
 # many proxies open theirs at once when all of them start.
 MAX_OPENING = 1
 
-Granted = ServerLink | NotOpened
+OpenResult = ServerLink | NotOpened
 
 
 @attrs.frozen
-class Hopeless:
+class WaitLimitExceeded:
     """The statement's turn did not come in time, or cannot."""
 
 
@@ -63,7 +63,7 @@
     since: float
 
 
-class ServerLane:
+class ConnectionPool:
     """Lends connections of one server to sessions, the most urgent first.
 
     Attributes:
@@ -101,12 +101,12 @@
         self.count = 0
         self.opening = 0
         self.full_until = 0.0
-        self.gate = StatementGate(max(MIN_WINDOW, window), limit)
-        self.sending: dict[ServerLink, float] = {}
-        self.turn = WaitEstimator()
-        self.patience = OverloadDetector()
-        self.loans: dict[ServerLink, float] = {}
-        self.line: PriorityWaitQueue[asyncio.Future[Granted]] = (
+        self.limiter = StatementLimiter(max(MIN_WINDOW, window), limit)
+        self.executing: dict[ServerLink, float] = {}
+        self.wait_estimator = WaitEstimator()
+        self.overload_detector = OverloadDetector()
+        self.in_use: dict[ServerLink, float] = {}
+        self.queue: PriorityWaitQueue[asyncio.Future[OpenResult]] = (
             PriorityWaitQueue()
         )
         self.retired = False
@@ -114,75 +114,77 @@
         self.loop = asyncio.get_running_loop()
 
     async def acquire(
-        self, memory: SessionContext, limits: WaitLimits
-    ) -> Granted | Hopeless:
+        self, context: SessionContext, limits: WaitLimits
+    ) -> OpenResult | WaitLimitExceeded:
         """Return a connection, waiting for one if all are in use.
 
         Args:
-          memory: What the session has set up; a fitting connection is
+          context: What the session has set up; a fitting connection is
             preferred.
           limits: How the statement may wait, by the loop's clock.
         """
-        granted = await self.connect(memory, limits)
-        if isinstance(granted, (NotOpened, Hopeless)):
+        granted = await self.connect(context, limits)
+        if isinstance(granted, (NotOpened, WaitLimitExceeded)):
             return granted
         # In this order, since whoever holds a place at the gate must be able
         # to go on: transactions need one while they keep their connections.
-        if await self.gate.enter(limits) is Entry.GRANTED:
-            self.sending[granted] = self.loop.time()
+        if await self.limiter.enter(limits) is LimiterResult.GRANTED:
+            self.executing[granted] = self.loop.time()
             return granted
         self.release(granted)
-        return Hopeless()
+        return WaitLimitExceeded()
 
     async def connect(
-        self, memory: SessionContext, limits: WaitLimits
-    ) -> Granted | Hopeless:
+        self, context: SessionContext, limits: WaitLimits
+    ) -> OpenResult | WaitLimitExceeded:
         """Return a connection, opening one or waiting for one."""
         now = self.loop.time()
-        deadline = self.patience.wait_deadline(now, self.line.length, limits)
-        link = self.take_idle(memory)
+        deadline = self.overload_detector.wait_deadline(
+            now, self.queue.length, limits
+        )
+        link = self.take_idle(context)
         if link is not None:
-            return self.lend(link)
-        ahead = self.line.ahead_of(limits.priority)
-        wait = self.turn.wait_seconds(ahead, self.limit)
+            return self.check_out(link)
+        ahead = self.queue.ahead_of(limits.priority)
+        wait = self.wait_estimator.wait_seconds(ahead, self.limit)
         if self.count >= self.limit and now + wait >= deadline:
-            return Hopeless()
-        granted: asyncio.Future[Granted] = self.loop.create_future()
-        place = self.line.enqueue(limits.priority, deadline, granted)
+            return WaitLimitExceeded()
+        granted: asyncio.Future[OpenResult] = self.loop.create_future()
+        waiter = self.queue.enqueue(limits.priority, deadline, granted)
         self.open_more()
         try:
             async with asyncio.timeout_at(deadline):
-                return self.lend(await granted)
+                return self.check_out(await granted)
         except TimeoutError:
             if granted.done() and not granted.cancelled():
-                return self.lend(granted.result())
-            return Hopeless()
+                return self.check_out(granted.result())
+            return WaitLimitExceeded()
         finally:
-            self.line.cancel(place)
+            self.queue.cancel(waiter)
 
-    def lend(self, granted: Granted) -> Granted:
+    def check_out(self, granted: OpenResult) -> OpenResult:
         """Note that a connection is in use from now on."""
         if not isinstance(granted, NotOpened):
-            self.loans[granted] = self.loop.time()
-            self.condition.running = len(self.loans)
+            self.in_use[granted] = self.loop.time()
+            self.condition.running = len(self.in_use)
         return granted
 
-    def returned(self, link: ServerLink) -> None:
+    def check_in(self, link: ServerLink) -> None:
         """Note that a connection is no longer in use."""
-        self.rest(link)
-        lent_at = self.loans.pop(link, None)
-        if lent_at is not None:
-            self.turn.record_hold(self.loop.time() - lent_at)
-            self.condition.running = len(self.loans)
+        self.end_statement(link)
+        used_since = self.in_use.pop(link, None)
+        if used_since is not None:
+            self.wait_estimator.record_hold(self.loop.time() - used_since)
+            self.condition.running = len(self.in_use)
 
-    def rest(self, link: ServerLink) -> None:
+    def end_statement(self, link: ServerLink) -> None:
         """Note that nothing is under way on a connection in use."""
-        sent_at = self.sending.pop(link, None)
+        sent_at = self.executing.pop(link, None)
         if sent_at is not None:
-            self.gate.leave(self.loop.time() - sent_at)
+            self.limiter.leave(self.loop.time() - sent_at)
             self.open_more()
 
-    async def resume(self, link: ServerLink, deadline: float) -> bool:
+    async def begin_statement(self, link: ServerLink, deadline: float) -> bool:
         """Wait until a transaction's next statement may be sent.
 
         Args:
@@ -190,27 +192,27 @@
           deadline: When to give up, in seconds on the loop's clock.
         """
         limits = WaitLimits(TRANSACTION_PRIORITY, deadline, deadline)
-        if await self.gate.enter(limits) is not Entry.GRANTED:
+        if await self.limiter.enter(limits) is not LimiterResult.GRANTED:
             return False
-        if link not in self.loans:
-            self.gate.leave(0.0)
+        if link not in self.in_use:
+            self.limiter.leave(0.0)
             return False
-        self.sending[link] = self.loop.time()
+        self.executing[link] = self.loop.time()
         return True
 
-    def full_for(self) -> float:
+    def queue_nonempty_seconds(self) -> float:
         """Return for how long statements have waited here, in seconds."""
         now = self.loop.time()
         return max(
-            self.patience.nonempty_seconds(now),
-            self.gate.patience.nonempty_seconds(now),
+            self.overload_detector.nonempty_seconds(now),
+            self.limiter.overload_detector.nonempty_seconds(now),
         )
 
     def has_spare_link(self) -> bool:
         """Return whether a connection is idle or may still be opened."""
         return bool(self.idle) or self.count < self.limit
 
-    async def spare_link(self, timeout_seconds: float) -> Granted:
+    async def acquire_control_link(self, timeout_seconds: float) -> OpenResult:
         """Return a connection for a control command, beyond the limit.
 
         Args:
@@ -226,13 +228,13 @@
             self.count += 1
         return opened
 
-    def take_idle(self, memory: SessionContext) -> ServerLink | None:
+    def take_idle(self, context: SessionContext) -> ServerLink | None:
         """Return the idle connection that fits a session best, or None."""
         while self.idle:
             best = min(
                 range(len(self.idle)),
                 key=lambda index: (
-                    self.idle[index].link.memory.count_differences(memory),
+                    self.idle[index].link.memory.count_differences(context),
                     -index,
                 ),
             )
@@ -261,7 +263,7 @@
         Args:
           link: The connection.
         """
-        self.returned(link)
+        self.check_in(link)
         if link.state is not SessionState.IDLE:
             # Its next statement would run inside this transaction.
             self.log.event(
@@ -275,9 +277,9 @@
             self.discard(link)
             return
         now = self.loop.time()
-        while (place := self.line.pop(now)) is not None:
-            if not place.item.done():
-                place.item.set_result(link)
+        while (waiter := self.queue.pop(now)) is not None:
+            if not waiter.item.done():
+                waiter.item.set_result(link)
                 return
         self.idle.append(IdleLink(link, now))
         link.on_closed = functools.partial(self.idle_closed, link)
@@ -288,7 +290,7 @@
         Args:
           link: The connection.
         """
-        self.returned(link)
+        self.check_in(link)
         link.close()
         self.count -= 1
         self.open_more()
@@ -298,13 +300,13 @@
         if self.retired or self.loop.time() < self.full_until:
             return
         # Whoever got it would only wait at the gate.
-        if not self.gate.has_room():
+        if not self.limiter.has_room():
             return
-        wanted = min(self.line.length, MAX_OPENING)
+        wanted = min(self.queue.length, MAX_OPENING)
         while self.opening < wanted and self.count < self.limit:
-            self.begin_open()
+            self.start_opening()
 
-    def begin_open(self) -> None:
+    def start_opening(self) -> None:
         """Open one connection."""
         self.count += 1
         self.opening += 1
@@ -314,7 +316,7 @@
 
     async def open_one(self) -> None:
         """Open one connection and hand it to whoever waits."""
-        outcome: Granted = NotOpened(OpenFailure.REFUSED, "closing")
+        outcome: OpenResult = NotOpened(OpenFailure.REFUSED, "closing")
         try:
             outcome = await self.opener.open(self.server, OPEN_TIMEOUT_SECONDS)
         finally:
@@ -322,14 +324,14 @@
             if isinstance(outcome, NotOpened):
                 self.count -= 1
         if isinstance(outcome, NotOpened):
-            self.not_opened(outcome)
+            self.open_failed(outcome)
         else:
             self.condition.position_seen(outcome.first_position)
             self.release(outcome)
         # Whoever got this one comes to the gate first.
         self.loop.call_soon(self.open_more)
 
-    def not_opened(self, outcome: NotOpened) -> None:
+    def open_failed(self, outcome: NotOpened) -> None:
         """Tell whoever waits that there is no connection.
 
         Args:
@@ -351,7 +353,7 @@
                 return
         else:
             self.condition.failed(now)
-        for waiting in self.line.clear():
+        for waiting in self.queue.clear():
             if not waiting.done():
                 waiting.set_result(outcome)
 
@@ -367,7 +369,7 @@
         while len(self.idle) > keep and self.idle[0].since < oldest:
             self.discard(self.take(0))
 
-    def drop_idle(self) -> None:
+    def close_idle_links(self) -> None:
         """Close every connection that nobody uses."""
         while self.idle:
             self.take(-1).close()
@@ -376,8 +378,8 @@
     def retire(self) -> None:
         """Take no new work; connections in use end with their work."""
         self.retired = True
-        self.drop_idle()
+        self.close_idle_links()
         gone = NotOpened(OpenFailure.WRONG_SERVER, "the server has left")
-        for waiting in self.line.clear():
+        for waiting in self.queue.clear():
             if not waiting.done():
                 waiting.set_result(gone)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
@@ -7,7 +7,7 @@
 
 from jackdawcrank.relay.await_reply import await_reply
 from jackdawcrank.relay.clocks import boot_seconds
-from jackdawcrank.relay.server_lane import ServerLane
+from jackdawcrank.relay.server_lane import ConnectionPool
 from jackdawcrank.seams.commands import (
     Command,
     OpenTransaction,
@@ -24,44 +24,44 @@
     from jackdawcrank.relay.group_relay import GroupRelay
 
 # Four times the farthest round trip (80 ms) and a delayed packet.
-QUESTION_SECONDS = 0.4
+COMMAND_TIMEOUT_SECONDS = 0.4
 # A handshake needs a slot, which a full server has after some hundred ms.
-CONNECT_SECONDS = 0.6
+CONNECT_TIMEOUT_SECONDS = 0.6
 # A full server refuses orders; it is asked again until the time is up.
-BUSY_PAUSE_SECONDS = 0.03
+BUSY_RETRY_SECONDS = 0.03
 
 
 @attrs.frozen
-class LeadReply:
+class PrimaryCheck:
     """What a server answered to the question whether it leads.
 
     Attributes:
-      lane: The server's connections.
+      pool: The server's connections.
       alive: Whether it answered at all.
-      leads: Whether it leads.
+      is_primary: Whether it leads.
       term: The term of its last log entry; 0 if it did not say.
     """
 
-    lane: ServerLane
+    pool: ConnectionPool
     alive: bool
-    leads: bool = False
+    is_primary: bool = False
     term: int = 0
 
 
 @attrs.frozen
-class Questioned:
+class StatusResult:
     """What a server answered to a question about itself, or to an order.
 
     Attributes:
-      lane: The server's connections.
+      pool: The server's connections.
       status: What it said of itself; None if it did not say.
     """
 
-    lane: ServerLane
+    pool: ConnectionPool
     status: ServerStatus | None
 
 
-class ServerQuestions:
+class ControlCommands:
     """Asks the servers of one group, past the line of waiting statements.
 
     Attributes:
@@ -72,7 +72,7 @@
         self.group = group
         self.loop = asyncio.get_running_loop()
 
-    async def leads(self, lane: ServerLane) -> LeadReply:
+    async def check_primary(self, pool: ConnectionPool) -> PrimaryCheck:
         """Ask whether a server leads.
 
         An empty transaction that may write begins on the leading server
@@ -80,75 +80,79 @@
         answer of a leading server is a floor, too.
 
         Args:
-          lane: The server's connections.
+          pool: The server's connections.
         """
-        link = await lane.spare_link(CONNECT_SECONDS)
+        link = await pool.acquire_control_link(CONNECT_TIMEOUT_SECONDS)
         if isinstance(link, NotOpened):
-            self.group.note_unreachable(lane, link.failure)
-            return LeadReply(lane, link.failure is OpenFailure.FULL)
+            self.group.note_unreachable(pool, link.failure)
+            return PrimaryCheck(pool, link.failure is OpenFailure.FULL)
         sent_at = boot_seconds()
         replies = await self.exchange(
-            lane, link, [OpenTransaction(read_only=False), UndoTransaction()]
+            pool, link, [OpenTransaction(read_only=False), UndoTransaction()]
         )
         if replies is None:
-            return LeadReply(lane, alive=False)
+            return PrimaryCheck(pool, alive=False)
         opened = replies[0]
-        lane.condition.position_seen(opened.position)
+        pool.condition.position_seen(opened.position)
         term = opened.position.term if opened.position else 0
-        leads = opened.problem is None
-        if lane is self.group.primary_lane():
-            self.group.doubt.answered()
-            if leads and opened.position:
+        is_primary = opened.problem is None
+        if pool is self.group.primary_pool():
+            self.group.suspicion.answered()
+            if is_primary and opened.position:
                 self.group.watermarks.add(sent_at, opened.position)
             elif opened.problem is Problem.NOT_PRIMARY:
-                self.group.disown(lane)
-        return LeadReply(lane, True, leads, term)
+                self.group.mark_not_primary(pool)
+        return PrimaryCheck(pool, True, is_primary, term)
 
     async def exchange(
-        self, lane: ServerLane, link: ServerLink, commands: list[Command]
+        self, pool: ConnectionPool, link: ServerLink, commands: list[Command]
     ) -> list[Reply] | None:
         """Send commands and give the link back; None without every reply."""
         start = self.loop.time()
         replies: list[Reply] = []
         for future in link.send(commands):
-            reply = await await_reply(future, start + QUESTION_SECONDS)
+            reply = await await_reply(future, start + COMMAND_TIMEOUT_SECONDS)
             if reply is None:
-                self.group.note_lost(lane, not link.closed, start)
-                lane.discard(link)
+                self.group.note_lost(pool, not link.closed, start)
+                pool.discard(link)
                 return None
             replies.append(reply)
-        lane.release(link)
+        pool.release(link)
         return replies
 
-    async def leads_all(self, lanes: list[ServerLane]) -> list[LeadReply]:
+    async def check_primaries(
+        self, pools: list[ConnectionPool]
+    ) -> list[PrimaryCheck]:
         """Ask several servers at once whether they lead.
 
         Args:
-          lanes: The servers' connections.
+          pools: The servers' connections.
         """
-        return await asyncio.gather(*(self.leads(one) for one in lanes))
+        return await asyncio.gather(*(self.check_primary(one) for one in pools))
 
-    async def ask(self, lane: ServerLane, command: Command) -> Questioned:
+    async def send_command(
+        self, pool: ConnectionPool, command: Command
+    ) -> StatusResult:
         """Send a question or an order that is answered with a status.
 
         Args:
-          lane: The server's connections.
+          pool: The server's connections.
           command: The command.
         """
-        give_up_at = self.loop.time() + QUESTION_SECONDS
+        deadline = self.loop.time() + COMMAND_TIMEOUT_SECONDS
         while True:
-            link = await lane.spare_link(CONNECT_SECONDS)
+            link = await pool.acquire_control_link(CONNECT_TIMEOUT_SECONDS)
             if isinstance(link, NotOpened):
-                self.group.note_unreachable(lane, link.failure)
-                return Questioned(lane, None)
-            replies = await self.exchange(lane, link, [command])
+                self.group.note_unreachable(pool, link.failure)
+                return StatusResult(pool, None)
+            replies = await self.exchange(pool, link, [command])
             if replies is None:
-                return Questioned(lane, None)
+                return StatusResult(pool, None)
             [reply] = replies
             full = reply.problem is Problem.BUSY
-            if not full or self.loop.time() >= give_up_at:
-                return Questioned(lane, self.status(link, reply))
-            await asyncio.sleep(BUSY_PAUSE_SECONDS)
+            if not full or self.loop.time() >= deadline:
+                return StatusResult(pool, self.status(link, reply))
+            await asyncio.sleep(BUSY_RETRY_SECONDS)
 
     def status(self, link: ServerLink, reply: Reply) -> ServerStatus | None:
         """Return a status, logging an answer that holds none."""
@@ -162,13 +166,15 @@
             )
         return status
 
-    async def ask_all(
-        self, lanes: list[ServerLane], command: Command
-    ) -> list[Questioned]:
+    async def send_to_all(
+        self, pools: list[ConnectionPool], command: Command
+    ) -> list[StatusResult]:
         """Send a question or an order to several servers at once.
 
         Args:
-          lanes: The servers' connections.
+          pools: The servers' connections.
           command: The command.
         """
-        return await asyncio.gather(*(self.ask(one, command) for one in lanes))
+        return await asyncio.gather(
+            *(self.send_command(one, command) for one in pools)
+        )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_gate.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_gate.py
@@ -16,15 +16,15 @@
 TRANSACTION_PRIORITY = -1
 
 
-class Entry(enum.Enum):
+class LimiterResult(enum.Enum):
     """Whether a statement may be sent."""
 
     GRANTED = "granted"
-    HOPELESS = "hopeless"
+    WAIT_LIMIT_EXCEEDED = "hopeless"
     """Its turn did not come in time, or cannot."""
 
 
-class StatementGate:
+class StatementLimiter:
     """Lets statements pass as the server can take them, the urgent first.
 
     Attributes:
@@ -35,44 +35,50 @@
       patience: How long newcomers should wait.
     """
 
-    def __init__(self, size: float, most: float) -> None:
-        self.window = CongestionWindow(size, most)
-        self.under_way = 0
-        self.line: PriorityWaitQueue[asyncio.Future[None]] = PriorityWaitQueue()
-        self.turn = WaitEstimator()
-        self.patience = OverloadDetector()
+    def __init__(self, size: float, max_size: float) -> None:
+        self.window = CongestionWindow(size, max_size)
+        self.in_flight_count = 0
+        self.queue: PriorityWaitQueue[asyncio.Future[None]] = (
+            PriorityWaitQueue()
+        )
+        self.wait_estimator = WaitEstimator()
+        self.overload_detector = OverloadDetector()
         self.loop = asyncio.get_running_loop()
 
-    async def enter(self, limits: WaitLimits) -> Entry:
+    async def enter(self, limits: WaitLimits) -> LimiterResult:
         """Wait until a statement may be sent.
 
         Args:
           limits: How it may wait, by the loop's clock.
         """
         now = self.loop.time()
-        deadline = self.patience.wait_deadline(now, self.line.length, limits)
+        deadline = self.overload_detector.wait_deadline(
+            now, self.queue.length, limits
+        )
         if self.has_room():
-            self.under_way += 1
-            return Entry.GRANTED
-        ahead = self.line.ahead_of(limits.priority)
-        wait = self.turn.wait_seconds(ahead, int(self.window.size))
+            self.in_flight_count += 1
+            return LimiterResult.GRANTED
+        ahead = self.queue.ahead_of(limits.priority)
+        wait = self.wait_estimator.wait_seconds(ahead, int(self.window.size))
         if now + wait >= deadline:
-            return Entry.HOPELESS
-        passed: asyncio.Future[None] = self.loop.create_future()
-        place = self.line.enqueue(limits.priority, deadline, passed)
+            return LimiterResult.WAIT_LIMIT_EXCEEDED
+        admitted: asyncio.Future[None] = self.loop.create_future()
+        waiter = self.queue.enqueue(limits.priority, deadline, admitted)
         try:
             async with asyncio.timeout_at(deadline):
-                await passed
+                await admitted
         except TimeoutError:
-            if not passed.done() or passed.cancelled():
-                return Entry.HOPELESS
+            if not admitted.done() or admitted.cancelled():
+                return LimiterResult.WAIT_LIMIT_EXCEEDED
         finally:
-            self.line.cancel(place)
-        return Entry.GRANTED
+            self.queue.cancel(waiter)
+        return LimiterResult.GRANTED
 
     def has_room(self) -> bool:
         """Return whether a statement would pass without waiting."""
-        return self.window.admits(self.under_way) and not self.line.length
+        return (
+            self.window.admits(self.in_flight_count) and not self.queue.length
+        )
 
     def leave(self, seconds: float) -> None:
         """Take in that a statement is under way no more.
@@ -80,21 +86,21 @@
         Args:
           seconds: How long it was.
         """
-        self.under_way -= 1
-        self.turn.record_hold(seconds)
+        self.in_flight_count -= 1
+        self.wait_estimator.record_hold(seconds)
         self.window.answered()
-        self.let_pass()
+        self.admit_waiting()
 
     def refused(self) -> None:
         """Take in that the server was full."""
         self.window.refused(self.loop.time())
 
-    def let_pass(self) -> None:
+    def admit_waiting(self) -> None:
         """Let those pass that may be sent now."""
-        while self.window.admits(self.under_way):
-            place = self.line.pop(self.loop.time())
-            if place is None:
+        while self.window.admits(self.in_flight_count):
+            waiter = self.queue.pop(self.loop.time())
+            if waiter is None:
                 return
-            if not place.item.done():
-                self.under_way += 1
-                place.item.set_result(None)
+            if not waiter.item.done():
+                self.in_flight_count += 1
+                waiter.item.set_result(None)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -13,14 +13,14 @@
     forward_command,
     setup_commands,
 )
-from jackdawcrank.relay.full_server import pause_seconds
+from jackdawcrank.relay.full_server import refusal_backoff_seconds
 from jackdawcrank.relay.group_relay import GroupRelay
 from jackdawcrank.relay.open_transaction import (
     OpenTransaction,
     give_back_after,
 )
 from jackdawcrank.relay.resolver import Resolver
-from jackdawcrank.relay.server_lane import Hopeless, ServerLane
+from jackdawcrank.relay.server_lane import ConnectionPool, WaitLimitExceeded
 from jackdawcrank.relay.session_view import SessionView
 from jackdawcrank.seams import commands
 from jackdawcrank.seams.replies import NOT_RUN, Problem, Reply
@@ -73,7 +73,7 @@
     excluded: set[str] = attrs.Factory(set)
     lagged: bool = False
     reason: str = "no server could be reached"
-    hopeless: bool = False
+    wait_limit_exceeded: bool = False
     server: str = ""
     needed: Position | None = None
 
@@ -103,29 +103,32 @@
         spec, group = resolved(session)
         now = self.loop.time()
         attempts = Attempts(now + spec.statement_timeout_seconds, now)
-        while self.may_try(group, attempts):
+        while self.can_retry(group, attempts):
             attempts.count += 1
             if execution.writes:
                 reply = await self.try_write(session, execution, attempts)
             else:
                 reply = await self.try_read(session, execution, attempts)
             if reply is not None:
-                self.note(session, execution, attempts, reply)
+                self.log_result(session, execution, attempts, reply)
                 return reply
             await self.pause(attempts)
         reply = Reply(problem=Problem.BUSY, detail=attempts.reason)
-        self.note(session, execution, attempts, reply)
+        self.log_result(session, execution, attempts, reply)
         return reply
 
-    def may_try(self, group: GroupRelay, attempts: Attempts) -> bool:
+    def can_retry(self, group: GroupRelay, attempts: Attempts) -> bool:
         """Return whether another attempt can be of use."""
-        if attempts.hopeless or self.loop.time() >= attempts.deadline:
+        if (
+            attempts.wait_limit_exceeded
+            or self.loop.time() >= attempts.deadline
+        ):
             return False
         if attempts.reason == UNSERVABLE:
             return group.usable_primary() is not None
         return True
 
-    def note(
+    def log_result(
         self,
         session: SessionView,
         execution: Execution,
@@ -137,8 +140,8 @@
         seconds = self.loop.time() - attempts.started_at
         outcome = reply.problem.value if reply.problem else "done"
         self.log.measurements.answered(session.database, outcome, seconds)
-        plain = reply.problem is None and attempts.count == 1
-        write = self.log.routine if plain else self.log.event
+        clean = reply.problem is None and attempts.count == 1
+        write = self.log.routine if clean else self.log.event
         write(
             "statement",
             request=execution.request_id,
@@ -149,16 +152,16 @@
             attempts=attempts.count,
             ms=round(seconds * 1000),
             outcome=outcome,
-            reason="" if plain else attempts.reason,
+            reason="" if clean else attempts.reason,
             version=group.declared_version,
         )
 
     async def pause(self, attempts: Attempts) -> None:
         """Wait a little before the next attempt."""
-        left = attempts.deadline - self.loop.time()
-        if attempts.count > 1 and left > 0:
-            delay = pause_seconds(min(attempts.count - 2, 8))
-            await asyncio.sleep(min(delay, left))
+        remaining = attempts.deadline - self.loop.time()
+        if attempts.count > 1 and remaining > 0:
+            delay = refusal_backoff_seconds(min(attempts.count - 2, 8))
+            await asyncio.sleep(min(delay, remaining))
 
     async def try_write(
         self,
@@ -168,10 +171,10 @@
     ) -> Reply | None:
         """Make one attempt to write; None if it did not run."""
         spec, group = resolved(session)
-        leased = await self.lease_primary(session, attempts)
-        if leased is None:
+        acquired = await self.acquire_primary_link(session, attempts)
+        if acquired is None:
             return None
-        lane, link = leased
+        pool, link = acquired
         batch = setup_commands(link, session.memory, execution)
         batch.append(forward_command(link, execution))
         start = self.loop.time()
@@ -180,22 +183,22 @@
         reply = await await_result(future, attempts.deadline)
         if reply is None:
             silent = not link.closed
-            group.note_lost(lane, silent, start, wrote=True)
-            self.give_back(lane, link, broken=True)
+            group.note_lost(pool, silent, start, wrote=True)
+            self.give_back(pool, link, broken=True)
             attempts.reason = SILENT if silent else CONNECTION_LOST
             return Reply(
                 problem=Problem.IN_DOUBT,
                 detail="the server did not answer the write",
             )
-        lane.condition.position_seen(reply.position)
+        pool.condition.position_seen(reply.position)
         broken = reply.problem is Problem.UNKNOWN_NAME
-        self.give_back(lane, link, broken)
+        self.give_back(pool, link, broken)
         if reply.problem in NOT_RUN:
-            self.note_refusal(group, lane, reply, attempts)
+            self.note_refusal(group, pool, reply, attempts)
             return None
         if reply.problem is None:
             session.saw(reply.position)
-            group.doubt.commit_acknowledged()
+            group.suspicion.commit_acknowledged()
             if reply.position:
                 group.watermarks.add(sent_at, reply.position)
         return reply
@@ -210,45 +213,47 @@
         spec, group = resolved(session)
         needed = await self.needed_position(session, attempts)
         attempts.needed = needed
-        lane = None
+        pool = None
         if needed is not None:
-            lane = group.read_lane(self.loop.time(), needed, attempts.excluded)
-        if lane is None:
+            pool = group.choose_read_pool(
+                self.loop.time(), needed, attempts.excluded
+            )
+        if pool is None:
             return await self.read_from_primary(session, execution, attempts)
-        link = await self.lease(lane, session, attempts)
+        link = await self.acquire_link(pool, session, attempts)
         if link is None:
             return None
         batch = setup_commands(link, session.memory, execution)
         batch.append(forward_command(link, execution, needed))
         reply = await self.read_reply(
-            group, lane, link, link.send(batch)[-1], attempts
+            group, pool, link, link.send(batch)[-1], attempts
         )
         if reply is None:
-            self.give_back(lane, link, broken=True)
+            self.give_back(pool, link, broken=True)
             return None
-        lane.condition.position_seen(reply.position)
+        pool.condition.position_seen(reply.position)
         broken = reply.problem is Problem.UNKNOWN_NAME
-        self.give_back(lane, link, broken)
-        return self.judge_read(group, lane, reply, attempts)
+        self.give_back(pool, link, broken)
+        return self.accept_read(group, pool, reply, attempts)
 
-    def judge_read(
+    def accept_read(
         self,
         group: GroupRelay,
-        lane: ServerLane,
+        pool: ConnectionPool,
         reply: Reply,
         attempts: Attempts,
     ) -> Reply | None:
         """Return an answer to a read that may be given, or None."""
         if reply.problem is None:
-            lane.condition.caught_up()
-            if lane is not group.primary_lane():
-                group.relief.replica_answered(self.loop.time())
+            pool.condition.caught_up()
+            if pool is not group.primary_pool():
+                group.switchover_trigger.replica_answered(self.loop.time())
             return reply
         if reply.problem in NOT_RUN:
-            self.note_refusal(group, lane, reply, attempts)
+            self.note_refusal(group, pool, reply, attempts)
             return None
         if reply.problem in (Problem.FAILED, Problem.TIMED_OUT):
-            attempts.excluded.add(lane.server.server_id)
+            attempts.excluded.add(pool.server.server_id)
             attempts.reason = reply.problem.value
             return None
         return reply
@@ -256,31 +261,31 @@
     async def read_reply(
         self,
         group: GroupRelay,
-        lane: ServerLane,
+        pool: ConnectionPool,
         link: ServerLink,
         future: asyncio.Future[Reply],
         attempts: Attempts,
     ) -> Reply | None:
         """Wait for the answer to a read as long as it is worth it."""
         start = self.loop.time()
-        limit = self.attempt_seconds(lane, attempts, start)
+        limit = self.attempt_seconds(pool, attempts, start)
         reply = await await_result(
             future, min(attempts.deadline, start + limit)
         )
         now = self.loop.time()
         if reply is None:
-            self.note_no_answer(group, lane, link, attempts, start, limit)
+            self.note_no_answer(group, pool, link, attempts, start, limit)
             return None
         if reply.problem is None:
-            lane.condition.answered(now - start, now)
-        if lane is group.primary_lane():
-            group.doubt.answered()
+            pool.condition.answered(now - start, now)
+        if pool is group.primary_pool():
+            group.suspicion.answered()
         return reply
 
     def note_no_answer(
         self,
         group: GroupRelay,
-        lane: ServerLane,
+        pool: ConnectionPool,
         link: ServerLink,
         attempts: Attempts,
         start: float,
@@ -290,7 +295,7 @@
 
         Args:
           group: The statement's group.
-          lane: Where it was sent.
+          pool: Where it was sent.
           link: The connection that it was sent on.
           attempts: Its attempts.
           start: When it was sent, in seconds on the loop's clock.
@@ -303,20 +308,22 @@
             attempts.reason = OUT_OF_TIME if late else ANSWER_LOST
             return
         attempts.reason = CONNECTION_LOST if link.closed else SILENT
-        attempts.excluded.add(lane.server.server_id)
-        lane.condition.failed(now)
+        attempts.excluded.add(pool.server.server_id)
+        pool.condition.failed(now)
         if not link.closed:
-            lane.condition.timed_out(now - start)
-        group.note_lost(lane, not link.closed, start)
+            pool.condition.timed_out(now - start)
+        group.note_lost(pool, not link.closed, start)
 
     def attempt_seconds(
-        self, lane: ServerLane, attempts: Attempts, now: float
+        self, pool: ConnectionPool, attempts: Attempts, now: float
     ) -> float:
         """Return how long an answer to a read is waited for."""
-        expected = lane.condition.expected_seconds(now, MIN_ATTEMPT_SECONDS)
-        most = (attempts.deadline - attempts.started_at) * MAX_ATTEMPT_SHARE
+        expected = pool.condition.expected_seconds(now, MIN_ATTEMPT_SECONDS)
+        max_seconds = (
+            attempts.deadline - attempts.started_at
+        ) * MAX_ATTEMPT_SHARE
         return min(
-            most, max(MIN_ATTEMPT_SECONDS, expected * LATE_ANSWER_FACTOR)
+            max_seconds, max(MIN_ATTEMPT_SECONDS, expected * LATE_ANSWER_FACTOR)
         )
 
     async def needed_position(
@@ -326,13 +333,15 @@
         spec, group = resolved(session)
         if spec.consistency is Consistency.PRIMARY or attempts.lagged:
             return None
-        floor = await group.floor(spec.max_age_seconds - AGE_MARGIN_SECONDS)
-        if floor is None:
+        watermark = await group.watermark(
+            spec.max_age_seconds - AGE_MARGIN_SECONDS
+        )
+        if watermark is None:
             return None
-        own = session.last_position
-        if spec.consistency is Consistency.OWN_WRITES and own:
-            return max(floor, own)
-        return floor
+        session_position = session.last_position
+        if spec.consistency is Consistency.OWN_WRITES and session_position:
+            return max(watermark, session_position)
+        return watermark
 
     async def read_from_primary(
         self,
@@ -346,10 +355,10 @@
         refuses the statements of a transaction that may write.
         """
         spec, group = resolved(session)
-        leased = await self.lease_primary(session, attempts)
-        if leased is None:
+        acquired = await self.acquire_primary_link(session, attempts)
+        if acquired is None:
             return None
-        lane, link = leased
+        pool, link = acquired
         batch = setup_commands(link, session.memory, execution)
         opening = len(batch)
         batch.append(commands.OpenTransaction(read_only=False))
@@ -357,27 +366,27 @@
         batch.append(commands.UndoTransaction())
         sent_at = boot_seconds()
         futures = link.send(batch)
-        reply = await self.read_reply(group, lane, link, futures[-2], attempts)
+        reply = await self.read_reply(group, pool, link, futures[-2], attempts)
         if reply is None:
-            self.give_back(lane, link, broken=True)
+            self.give_back(pool, link, broken=True)
             return None
         opened = futures[opening].result()
-        lane.condition.position_seen(reply.position)
+        pool.condition.position_seen(reply.position)
         if reply.problem is Problem.UNKNOWN_NAME:
-            self.give_back(lane, link, broken=True)
+            self.give_back(pool, link, broken=True)
         else:
-            give_back_after(lane, link, futures[-1])
+            give_back_after(pool, link, futures[-1])
         if opened.problem is not None:
-            self.note_refusal(group, lane, opened, attempts)
+            self.note_refusal(group, pool, opened, attempts)
             return None
         if reply.problem is None and reply.position:
             group.watermarks.add(sent_at, reply.position)
-        return self.judge_read(group, lane, reply, attempts)
+        return self.accept_read(group, pool, reply, attempts)
 
     def note_refusal(
         self,
         group: GroupRelay,
-        lane: ServerLane,
+        pool: ConnectionPool,
         reply: Reply,
         attempts: Attempts,
     ) -> None:
@@ -386,16 +395,16 @@
         attempts.reason = problem.value
         now = self.loop.time()
         if problem is Problem.NOT_PRIMARY:
-            group.disown(lane)
+            group.mark_not_primary(pool)
         elif problem is Problem.LACKS_POSITION:
-            lane.condition.lagged(now)
-            if lane is group.primary_lane():
+            pool.condition.lagged(now)
+            if pool is group.primary_pool():
                 attempts.lagged = True
             else:
-                attempts.excluded.add(lane.server.server_id)
+                attempts.excluded.add(pool.server.server_id)
         elif problem is Problem.BUSY:
-            lane.gate.refused()
-            lane.condition.failed(now)
+            pool.limiter.refused()
+            pool.condition.failed(now)
 
     async def begin(
         self, session: SessionView, execution: Execution | None
@@ -409,7 +418,7 @@
         spec, group = resolved(session)
         now = self.loop.time()
         attempts = Attempts(now + spec.statement_timeout_seconds, now)
-        while self.may_try(group, attempts):
+        while self.can_retry(group, attempts):
             attempts.count += 1
             opened = await self.try_begin(session, execution, attempts)
             if opened is not None:
@@ -434,99 +443,101 @@
         """Make one attempt to open a transaction."""
         spec, group = resolved(session)
         needed = None
-        lane = None
+        pool = None
         if session.read_only:
             needed = await self.needed_position(session, attempts)
         if needed is not None:
-            lane = group.read_lane(self.loop.time(), needed, attempts.excluded)
-        on_primary = lane is None
-        if lane is None:
-            leased = await self.lease_primary(session, attempts)
-            if leased is None:
+            pool = group.choose_read_pool(
+                self.loop.time(), needed, attempts.excluded
+            )
+        on_primary = pool is None
+        if pool is None:
+            acquired = await self.acquire_primary_link(session, attempts)
+            if acquired is None:
                 return None
-            lane, link = leased
+            pool, link = acquired
         else:
-            found = await self.lease(lane, session, attempts)
-            if found is None:
+            read_link = await self.acquire_link(pool, session, attempts)
+            if read_link is None:
                 return None
-            link = found
+            link = read_link
         batch = setup_commands(link, session.memory, execution)
         batch.append(
             commands.OpenTransaction(read_only=not on_primary, needed=needed)
         )
         start = self.loop.time()
-        limit = self.attempt_seconds(lane, attempts, start)
+        limit = self.attempt_seconds(pool, attempts, start)
         future = link.send(batch)[-1]
         reply = await await_reply(future, min(attempts.deadline, start + limit))
         if reply is None:
-            self.note_no_answer(group, lane, link, attempts, start, limit)
-            self.give_back(lane, link, broken=True)
+            self.note_no_answer(group, pool, link, attempts, start, limit)
+            self.give_back(pool, link, broken=True)
             return None
-        lane.condition.position_seen(reply.position)
+        pool.condition.position_seen(reply.position)
         if reply.problem is not None:
-            self.give_back(lane, link, broken=False)
-            self.note_refusal(group, lane, reply, attempts)
+            self.give_back(pool, link, broken=False)
+            self.note_refusal(group, pool, reply, attempts)
             return None
-        lane.rest(link)
+        pool.end_statement(link)
         return OpenTransaction(
-            group, lane, link, on_primary, spec.statement_timeout_seconds
+            group, pool, link, on_primary, spec.statement_timeout_seconds
         )
 
-    async def lease_primary(
+    async def acquire_primary_link(
         self, session: SessionView, attempts: Attempts
-    ) -> tuple[ServerLane, ServerLink] | None:
+    ) -> tuple[ConnectionPool, ServerLink] | None:
         """Return a connection to the primary, or None."""
         _, group = resolved(session)
-        lane = await group.wait_for_primary(attempts.deadline)
-        if lane is None:
+        pool = await group.wait_for_primary(attempts.deadline)
+        if pool is None:
             lost = group.contact.lost
             attempts.reason = UNSERVABLE if lost else NO_PRIMARY
             return None
-        link = await self.lease(lane, session, attempts)
-        return (lane, link) if link else None
+        link = await self.acquire_link(pool, session, attempts)
+        return (pool, link) if link else None
 
-    async def lease(
-        self, lane: ServerLane, session: SessionView, attempts: Attempts
+    async def acquire_link(
+        self, pool: ConnectionPool, session: SessionView, attempts: Attempts
     ) -> ServerLink | None:
         """Return a connection of a lane, or None."""
         spec, group = resolved(session)
-        attempts.server = lane.server.server_id
-        granted = await lane.acquire(
-            session.memory, self.wait_limits(spec, lane, attempts)
+        attempts.server = pool.server.server_id
+        granted = await pool.acquire(
+            session.memory, self.wait_limits(spec, pool, attempts)
         )
-        if isinstance(granted, Hopeless):
+        if isinstance(granted, WaitLimitExceeded):
             attempts.reason = OpenFailure.FULL.value
-            attempts.hopeless = lane is group.primary_lane()
-            attempts.excluded.add(lane.server.server_id)
+            attempts.wait_limit_exceeded = pool is group.primary_pool()
+            attempts.excluded.add(pool.server.server_id)
             return None
         if isinstance(granted, NotOpened):
             attempts.reason = granted.failure.value
             if granted.failure is not OpenFailure.FULL:
-                attempts.excluded.add(lane.server.server_id)
-                group.note_unreachable(lane, granted.failure)
+                attempts.excluded.add(pool.server.server_id)
+                group.note_unreachable(pool, granted.failure)
             return None
         return granted
 
     def wait_limits(
-        self, spec: DatabaseSpec, lane: ServerLane, attempts: Attempts
+        self, spec: DatabaseSpec, pool: ConnectionPool, attempts: Attempts
     ) -> WaitLimits:
         """Return how a statement may wait for a connection of a lane."""
         now = self.loop.time()
         seconds = attempts.deadline - attempts.started_at
-        expected = lane.condition.expected_seconds(now, MIN_ATTEMPT_SECONDS)
+        expected = pool.condition.expected_seconds(now, MIN_ATTEMPT_SECONDS)
         needed = max(MIN_ATTEMPT_SECONDS, SEND_FACTOR * expected)
         latest = attempts.deadline - min(seconds * MAX_ATTEMPT_SHARE, needed)
         early = attempts.started_at + seconds * OVERLOAD_WAIT_SHARE
         return WaitLimits(spec.priority, latest, min(latest, early))
 
     def give_back(
-        self, lane: ServerLane, link: ServerLink, broken: bool
+        self, pool: ConnectionPool, link: ServerLink, broken: bool
     ) -> None:
         """Give a connection back after a statement."""
         if broken:
-            lane.discard(link)
+            pool.discard(link)
         else:
-            lane.release(link)
+            pool.release(link)
 
 
 def resolved(session: SessionView) -> tuple[DatabaseSpec, GroupRelay]:
--- a/packages/jackdawcrank-proxy/tests/relay/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/relay/conftest.py
@@ -7,7 +7,7 @@
 import pytest
 
 from jackdawcrank.decisions import DecisionLog
-from jackdawcrank.relay.server_lane import ServerLane
+from jackdawcrank.relay.server_lane import ConnectionPool
 from jackdawcrank.seams.commands import Command
 from jackdawcrank.seams.replies import Reply, ServerStatus, SessionState
 from jackdawcrank.seams.server_link import NotOpened
@@ -90,8 +90,8 @@
 
 
 @pytest.fixture
-async def lane(opener: FakeOpener, log: DecisionLog) -> ServerLane:
+async def pool(opener: FakeOpener, log: DecisionLog) -> ConnectionPool:
     server = ListedServer(
         "s1", "plots", "127.0.0.1", 1, "north-a", 3, False, True, 0, 1
     )
-    return ServerLane(server, opener, 8, 2.0, log, lambda: None)
+    return ConnectionPool(server, opener, 8, 2.0, log, lambda: None)
--- a/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
@@ -8,7 +8,7 @@
 from jackdawcrank.relay.execution import Execution
 from jackdawcrank.relay.group_relay import GroupRelay
 from jackdawcrank.relay.open_transaction import OpenTransaction
-from jackdawcrank.relay.server_lane import ServerLane
+from jackdawcrank.relay.server_lane import ConnectionPool
 from jackdawcrank.relay.session_view import SessionView
 from jackdawcrank.seams.commands import UndoTransaction
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
@@ -43,15 +43,15 @@
 
 @pytest.fixture
 async def transaction(
-    lane: ServerLane, opener: FakeOpener, group: FakeGroup
+    pool: ConnectionPool, opener: FakeOpener, group: FakeGroup
 ) -> OpenTransaction:
     link = FakeLink(state=SessionState.IN_TRANSACTION)
-    lane.count = 1
-    lane.lend(link)
+    pool.count = 1
+    pool.check_out(link)
     # The server has all that it can take.
-    lane.gate.under_way = 2
+    pool.limiter.in_flight_count = 2
     return OpenTransaction(
-        typing.cast(GroupRelay, group), lane, link, True, 0.05
+        typing.cast(GroupRelay, group), pool, link, True, 0.05
     )
 
 
@@ -76,10 +76,10 @@
 
 
 async def test_commit_that_was_sent_and_not_answered_is_in_doubt(
-    transaction: OpenTransaction, lane: ServerLane, group: FakeGroup
+    transaction: OpenTransaction, pool: ConnectionPool, group: FakeGroup
 ) -> None:
     transaction.wrote = True
-    lane.gate.under_way = 0
+    pool.limiter.in_flight_count = 0
     reply = await transaction.commit(SESSION, "r2")
     assert reply.problem is Problem.IN_DOUBT
     assert transaction.link.closed
@@ -87,14 +87,14 @@
 
 
 async def test_undone_connection_comes_back_when_the_server_says_so(
-    transaction: OpenTransaction, lane: ServerLane
+    transaction: OpenTransaction, pool: ConnectionPool
 ) -> None:
     await transaction.run(SESSION, Execution("r1", True, "WRITE a b"))
     link = typing.cast(FakeLink, transaction.link)
     link.state = SessionState.IDLE
     link.sent[-1][1].set_result(Reply())
     await settle()
-    assert [one.link for one in lane.idle] == [link]
+    assert [one.link for one in pool.idle] == [link]
     await asyncio.sleep(0)
 
 
