--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
@@ -7,7 +7,7 @@
 import attrs
 
 from jackdawcrank.decisions import DecisionLog
-from jackdawcrank.relay.statement_gate import (
+from jackdawcrank.relay.statement_limiter import (
     TRANSACTION_PRIORITY,
     LimiterResult,
     StatementLimiter,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/control_commands.py
@@ -7,7 +7,7 @@
 
 from jackdawcrank.relay.await_reply import await_reply
 from jackdawcrank.relay.clocks import boot_seconds
-from jackdawcrank.relay.server_lane import ConnectionPool
+from jackdawcrank.relay.connection_pool import ConnectionPool
 from jackdawcrank.seams.commands import (
     Command,
     OpenTransaction,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -6,9 +6,12 @@
 
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.clocks import boot_seconds
+from jackdawcrank.relay.connection_pool import (
+    OPEN_TIMEOUT_SECONDS,
+    ConnectionPool,
+)
+from jackdawcrank.relay.control_commands import ControlCommands
 from jackdawcrank.relay.homes import Homes
-from jackdawcrank.relay.server_lane import OPEN_TIMEOUT_SECONDS, ConnectionPool
-from jackdawcrank.relay.server_questions import ControlCommands
 from jackdawcrank.relay.store_contact import StoreContact
 from jackdawcrank.seams.server_link import LinkOpener, OpenFailure
 from jackdawcrank_policy.catalog import ListedServer, ServedGroup
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -8,9 +8,9 @@
 
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.claim_rows import ClaimRows, HeldClaim
+from jackdawcrank.relay.connection_pool import ConnectionPool
+from jackdawcrank.relay.control_commands import StatusResult
 from jackdawcrank.relay.group_relay import GroupRelay
-from jackdawcrank.relay.server_lane import ConnectionPool
-from jackdawcrank.relay.server_questions import StatusResult
 from jackdawcrank.seams.commands import (
     AskStatus,
     Freeze,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -7,13 +7,13 @@
 
 from jackdawcrank.relay.await_reply import await_result
 from jackdawcrank.relay.clocks import boot_seconds
+from jackdawcrank.relay.connection_pool import ConnectionPool
 from jackdawcrank.relay.execution import (
     Execution,
     forward_command,
     setup_commands,
 )
-from jackdawcrank.relay.full_server import refusal_backoff_seconds
-from jackdawcrank.relay.server_lane import ConnectionPool
+from jackdawcrank.relay.refusal_backoff import refusal_backoff_seconds
 from jackdawcrank.relay.session_view import SessionView
 from jackdawcrank.seams.commands import Command, ForwardCommit, UndoTransaction
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/lane_care.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/pool_maintenance.py
@@ -1,8 +1,8 @@
 """Looking after idle connections."""
 
+from jackdawcrank.relay.connection_pool import ConnectionPool
 from jackdawcrank.relay.directory import Directory
 from jackdawcrank.relay.group_relay import GroupRelay
-from jackdawcrank.relay.server_lane import ConnectionPool
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
 from jackdawcrank_policy.placement import Distance
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -14,13 +14,13 @@
 from jackdawcrank.relay.home_server import HomeServer
 from jackdawcrank.relay.homes import Homes
 from jackdawcrank.relay.idle_transactions import IdleTransactions
-from jackdawcrank.relay.lane_care import PoolMaintenance
 from jackdawcrank.relay.leaving import Leaving
 from jackdawcrank.relay.member_rows import (
     MEMBERS_TABLE,
     SETTLE_SECONDS,
     MemberRows,
 )
+from jackdawcrank.relay.pool_maintenance import PoolMaintenance
 from jackdawcrank.relay.relay_settings import RelaySettings
 from jackdawcrank.relay.statement_runner import StatementRunner
 from jackdawcrank.relay.store_contact import StoreContact
@@ -159,7 +159,7 @@
             log,
             rng,
         )
-        self.lane_care = PoolMaintenance(self.directory)
+        self.pool_maintenance = PoolMaintenance(self.directory)
         self.idle_transactions = IdleTransactions(self.directory, front, log)
         self.leaving = Leaving(
             front, self.home_server, settings.stop_grace_seconds, log
@@ -190,7 +190,7 @@
         await self.teller.start(self.timer)
         await self.contacts.start(self.timer)
         await self.front.start(self)
-        await self.lane_care.start(self.timer)
+        await self.pool_maintenance.start(self.timer)
         await self.idle_transactions.start(self.timer)
         await self.succession.start(self.timer)
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -8,19 +8,19 @@
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.await_reply import await_reply, await_result
 from jackdawcrank.relay.clocks import boot_seconds
+from jackdawcrank.relay.connection_pool import ConnectionPool, WaitLimitExceeded
 from jackdawcrank.relay.execution import (
     Execution,
     forward_command,
     setup_commands,
 )
-from jackdawcrank.relay.full_server import refusal_backoff_seconds
 from jackdawcrank.relay.group_relay import GroupRelay
 from jackdawcrank.relay.open_transaction import (
     OpenTransaction,
     give_back_after,
 )
+from jackdawcrank.relay.refusal_backoff import refusal_backoff_seconds
 from jackdawcrank.relay.resolver import Resolver
-from jackdawcrank.relay.server_lane import ConnectionPool, WaitLimitExceeded
 from jackdawcrank.relay.session_view import SessionView
 from jackdawcrank.seams import commands
 from jackdawcrank.seams.replies import NOT_RUN, Problem, Reply
--- a/packages/jackdawcrank-proxy/tests/relay/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/relay/conftest.py
@@ -7,7 +7,7 @@
 import pytest
 
 from jackdawcrank.decisions import DecisionLog
-from jackdawcrank.relay.server_lane import ConnectionPool
+from jackdawcrank.relay.connection_pool import ConnectionPool
 from jackdawcrank.seams.commands import Command
 from jackdawcrank.seams.replies import Reply, ServerStatus, SessionState
 from jackdawcrank.seams.server_link import NotOpened
--- a/packages/jackdawcrank-proxy/tests/relay/test_server_lane.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_connection_pool.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from jackdawcrank.relay.server_lane import ConnectionPool, WaitLimitExceeded
+from jackdawcrank.relay.connection_pool import ConnectionPool, WaitLimitExceeded
 from jackdawcrank.seams.server_link import NotOpened, OpenFailure
 from jackdawcrank_policy.sessions import SessionContext
 from jackdawcrank_policy.waiting import WaitLimits
--- a/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
@@ -5,10 +5,10 @@
 import pytest
 
 from jackdawcrank.decisions import DecisionLog
+from jackdawcrank.relay.connection_pool import ConnectionPool
 from jackdawcrank.relay.execution import Execution
 from jackdawcrank.relay.group_relay import GroupRelay
 from jackdawcrank.relay.open_transaction import OpenTransaction
-from jackdawcrank.relay.server_lane import ConnectionPool
 from jackdawcrank.relay.session_view import SessionView
 from jackdawcrank.seams.commands import UndoTransaction
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
