--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/await_reply.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/await_reply.py
@@ -1,4 +1,4 @@
-"""Waiting for a server's answer."""
+"""Waiting for replies of backend servers."""
 
 import asyncio
 
@@ -9,14 +9,14 @@
 async def await_result(
     future: asyncio.Future[Reply], deadline: float
 ) -> Reply | None:
-    """Return the reply to a caller's statement, or None if there is none.
+    """Return the reply to a caller's statement, or None without one.
 
-    A success without the server's signature answers another command, so the
-    answer in between was lost.
+    A successful reply without the server's signature belongs to another
+    command, which means that the statement's own reply was lost.
 
     Args:
-      future: The reply to come.
-      deadline: When to give up, in seconds on the loop's clock.
+      future: Receives the reply.
+      deadline: End of the wait, in seconds on the loop's clock.
     """
     reply = await await_reply(future, deadline)
     if reply is not None and reply.problem is None and not reply.signature:
@@ -27,11 +27,11 @@
 async def await_reply(
     future: asyncio.Future[Reply], deadline: float
 ) -> Reply | None:
-    """Return a reply, or None if the link ended or the time ran out.
+    """Return a reply, or None if the link was lost or the deadline passed.
 
     Args:
-      future: The reply to come.
-      deadline: When to give up, in seconds on the loop's clock.
+      future: Receives the reply.
+      deadline: End of the wait, in seconds on the loop's clock.
     """
     try:
         async with asyncio.timeout_at(deadline):
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/clocks.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/clocks.py
@@ -1,8 +1,8 @@
-"""The clock that ages of data are counted on."""
+"""Clock for the age of data."""
 
 import time
 
 
 def boot_seconds() -> float:
-    """Return the time in seconds on a clock that counts suspension too."""
+    """Return the seconds since boot, including time in suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections of this proxy to one backend server."""
+"""Pool of this proxy's connections to one backend server."""
 
 import asyncio
 import functools
@@ -29,17 +29,20 @@
     WaitLimits,
 )
 
-# Above a round trip between regions (40 ms) twice, a handshake behind a full
-# server (27 ms each) and a delayed packet.
+# Exceeds two round trips between regions (40 ms each), a handshake that waits
+# for slots of a full server (27 ms each) and a delayed packet.
 OPEN_TIMEOUT_SECONDS = 1.0
-# Fewer statements at once would let a round trip between regions idle a slot.
+# With a smaller window, a slot would be idle for a round trip between regions
+# after each statement.
 MIN_WINDOW = 2.0
-# Connections unused for this long are given back to other proxies.
+# Connections that are idle for longer are closed, so that other proxies can
+# use the server's slots.
 IDLE_SECONDS = 12.0
-# After a server was full, wait for others to give connections back.
+# Delay before the next attempt to connect to a full server, in which other
+# proxies may close connections.
 FULL_PAUSE_SECONDS = 0.25
-# A new connection takes one of a server's slots (3 to 6) for 12 to 27 ms, and
-# many proxies open theirs at once when all of them start.
+# A handshake occupies one of the server's slots (3 to 6) for 12 to 27 ms, and
+# many proxies connect at the same time when all of them start.
 MAX_OPENING = 1
 
 OpenResult = ServerLink | NotOpened
@@ -47,16 +50,16 @@
 
 @attrs.frozen
 class WaitLimitExceeded:
-    """The statement's turn did not come in time, or cannot."""
+    """The statement was not admitted, or could not be, before its deadline."""
 
 
 @attrs.frozen
 class IdleLink:
-    """A connection that nobody uses.
+    """An idle connection.
 
     Attributes:
       link: The connection.
-      since: Since when, in seconds on the loop's clock.
+      since: When it became idle, in seconds on the loop's clock.
     """
 
     link: ServerLink
@@ -64,22 +67,29 @@
 
 
 class ConnectionPool:
-    """Lends connections of one server to sessions, the most urgent first.
+    """Connection pool of one server, with a queue ordered by priority.
 
     Attributes:
-      server: The server, as it last reported itself.
-      limit: Connections that this proxy may hold.
-      condition: What this proxy knows of the server.
-      idle: Connections that nobody uses, the latest used last.
-      count: Connections that are open or being opened.
-      loans: The connections in use, and since when.
-      line: Who waits for one.
-      turn: How long connections are in use.
-      patience: How long newcomers should wait for one.
-      gate: Lets statements pass as the server can take them.
-      sending: The connections with a statement under way, and since when.
-      retired: Whether the server is gone.
-      on_lost: Called when the server ends a connection that nobody uses.
+      server: The server's latest report.
+      opener: Opens connections.
+      limit: Maximum number of connections of this proxy.
+      condition: State of the server as observed by this proxy.
+      idle: Idle connections, the most recently used last.
+      count: Number of connections that are open or being opened.
+      opening: Number of connections that are being opened.
+      full_until: No connection is opened before this time, in seconds on the
+        loop's clock, because the server was full.
+      in_use: The time at which each connection in use was checked out, in
+        seconds on the loop's clock.
+      queue: Requests that wait for a connection.
+      wait_estimator: Estimates queue waits from how long connections are in
+        use.
+      overload_detector: Sets the wait limit of new requests.
+      limiter: Limits the statements in flight on the server.
+      executing: The time at which each connection with a statement in flight
+        started it, in seconds on the loop's clock.
+      retired: Whether the server has been removed.
+      on_lost: Called when the server closes an idle connection.
     """
 
     def __init__(
@@ -116,18 +126,26 @@
     async def acquire(
         self, context: SessionContext, limits: WaitLimits
     ) -> OpenResult | WaitLimitExceeded:
-        """Return a connection, waiting for one if all are in use.
+        """Return a connection on which a statement may be sent.
+
+        Waits for a connection if all are in use, and then for the limiter.
 
         Args:
-          context: What the session has set up; a fitting connection is
-            preferred.
-          limits: How the statement may wait, by the loop's clock.
+          context: The session's settings and prepared statements. The idle
+            connection that differs least from them is preferred.
+          limits: Priority and wait limits of the statement, in seconds on the
+            loop's clock.
+
+        Returns:
+          The connection, why none could be opened, or that the wait limit was
+          exceeded.
         """
         granted = await self.connect(context, limits)
         if isinstance(granted, (NotOpened, WaitLimitExceeded)):
             return granted
-        # In this order, since whoever holds a place at the gate must be able
-        # to go on: transactions need one while they keep their connections.
+        # The connection is acquired before the limiter, since a statement that
+        # the limiter has admitted must not wait for a connection: transactions
+        # keep their connections while their statements wait for the limiter.
         if await self.limiter.enter(limits) is LimiterResult.GRANTED:
             self.executing[granted] = self.loop.time()
             return granted
@@ -137,7 +155,7 @@
     async def connect(
         self, context: SessionContext, limits: WaitLimits
     ) -> OpenResult | WaitLimitExceeded:
-        """Return a connection, opening one or waiting for one."""
+        """Return an idle or new connection, or wait for one."""
         now = self.loop.time()
         deadline = self.overload_detector.wait_deadline(
             now, self.queue.length, limits
@@ -163,14 +181,14 @@
             self.queue.cancel(waiter)
 
     def check_out(self, granted: OpenResult) -> OpenResult:
-        """Note that a connection is in use from now on."""
+        """Record that a connection is in use from now on."""
         if not isinstance(granted, NotOpened):
             self.in_use[granted] = self.loop.time()
             self.condition.running = len(self.in_use)
         return granted
 
     def check_in(self, link: ServerLink) -> None:
-        """Note that a connection is no longer in use."""
+        """Record that a connection is no longer in use."""
         self.end_statement(link)
         used_since = self.in_use.pop(link, None)
         if used_since is not None:
@@ -178,7 +196,7 @@
             self.condition.running = len(self.in_use)
 
     def end_statement(self, link: ServerLink) -> None:
-        """Note that nothing is under way on a connection in use."""
+        """Record that a connection in use has no statement in flight."""
         sent_at = self.executing.pop(link, None)
         if sent_at is not None:
             self.limiter.leave(self.loop.time() - sent_at)
@@ -187,9 +205,12 @@
     async def begin_statement(self, link: ServerLink, deadline: float) -> bool:
         """Wait until a transaction's next statement may be sent.
 
+        Returns False if the deadline passed or if the connection was returned
+        to the pool or closed in the meantime.
+
         Args:
           link: The transaction's connection.
-          deadline: When to give up, in seconds on the loop's clock.
+          deadline: End of the wait, in seconds on the loop's clock.
         """
         limits = WaitLimits(TRANSACTION_PRIORITY, deadline, deadline)
         if await self.limiter.enter(limits) is not LimiterResult.GRANTED:
@@ -201,7 +222,7 @@
         return True
 
     def queue_nonempty_seconds(self) -> float:
-        """Return for how long statements have waited here, in seconds."""
+        """Return for how long a queue has been non-empty, in seconds."""
         now = self.loop.time()
         return max(
             self.overload_detector.nonempty_seconds(now),
@@ -209,14 +230,16 @@
         )
 
     def has_spare_link(self) -> bool:
-        """Return whether a connection is idle or may still be opened."""
+        """Return whether a connection is idle or may be opened."""
         return bool(self.idle) or self.count < self.limit
 
     async def acquire_control_link(self, timeout_seconds: float) -> OpenResult:
-        """Return a connection for a control command, beyond the limit.
+        """Return a connection for a control command.
+
+        The pool's limit does not apply to it.
 
         Args:
-          timeout_seconds: The longest time to open one.
+          timeout_seconds: Time limit for opening a connection.
         """
         while self.idle:
             link = self.take(-1)
@@ -229,7 +252,7 @@
         return opened
 
     def take_idle(self, context: SessionContext) -> ServerLink | None:
-        """Return the idle connection that fits a session best, or None."""
+        """Return the idle connection that needs the least setup, or None."""
         while self.idle:
             best = min(
                 range(len(self.idle)),
@@ -245,27 +268,29 @@
         return None
 
     def take(self, index: int) -> ServerLink:
-        """Take an idle connection into use."""
+        """Remove a connection from the idle ones and return it."""
         link = self.idle.pop(index).link
         link.on_closed = None
         return link
 
     def idle_closed(self, link: ServerLink) -> None:
-        """Take in that an idle connection ended from the other side."""
+        """Remove an idle connection that the server has closed."""
         kept = [one for one in self.idle if one.link is not link]
         self.count -= len(self.idle) - len(kept)
         self.idle = kept
         self.on_lost()
 
     def release(self, link: ServerLink) -> None:
-        """Give a connection back that is in no transaction.
+        """Return a connection to the pool.
+
+        A connection in a transaction is closed.
 
         Args:
           link: The connection.
         """
         self.check_in(link)
         if link.state is not SessionState.IDLE:
-            # Its next statement would run inside this transaction.
+            # The next statement on it would run inside this transaction.
             self.log.event(
                 "connection_not_idle",
                 server=self.server.server_id,
@@ -285,7 +310,7 @@
         link.on_closed = functools.partial(self.idle_closed, link)
 
     def discard(self, link: ServerLink) -> None:
-        """Close a connection that cannot be used again.
+        """Close a connection that cannot be reused.
 
         Args:
           link: The connection.
@@ -296,10 +321,10 @@
         self.open_more()
 
     def open_more(self) -> None:
-        """Open a connection if one is waited for and could be used."""
+        """Open a connection if a request waits that could use it now."""
         if self.retired or self.loop.time() < self.full_until:
             return
-        # Whoever got it would only wait at the gate.
+        # A request with a new connection would only wait for the limiter.
         if not self.limiter.has_room():
             return
         wanted = min(self.queue.length, MAX_OPENING)
@@ -307,7 +332,7 @@
             self.start_opening()
 
     def start_opening(self) -> None:
-        """Open one connection."""
+        """Start to open one connection."""
         self.count += 1
         self.opening += 1
         task = self.loop.create_task(self.open_one())
@@ -315,7 +340,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def open_one(self) -> None:
-        """Open one connection and hand it to whoever waits."""
+        """Open one connection and pass it to a waiting request."""
         outcome: OpenResult = NotOpened(OpenFailure.REFUSED, "closing")
         try:
             outcome = await self.opener.open(self.server, OPEN_TIMEOUT_SECONDS)
@@ -328,14 +353,17 @@
         else:
             self.condition.position_seen(outcome.first_position)
             self.release(outcome)
-        # Whoever got this one comes to the gate first.
+        # The request that got this connection enters the limiter first.
         self.loop.call_soon(self.open_more)
 
     def open_failed(self, outcome: NotOpened) -> None:
-        """Tell whoever waits that there is no connection.
+        """Fail the waiting requests, as no connection could be opened.
+
+        If the server is full and connections are open, the requests continue
+        to wait for one of these.
 
         Args:
-          outcome: Why.
+          outcome: The reason.
         """
         now = self.loop.time()
         self.log.event(
@@ -358,10 +386,11 @@
                 waiting.set_result(outcome)
 
     def trim(self, keep: int) -> None:
-        """Close connections beyond the limit or unused for a while.
+        """Close idle connections beyond the limit or idle for too long.
 
         Args:
-          keep: How many to keep all the same.
+          keep: Number of idle connections that are kept however long they
+            have been idle.
         """
         while self.idle and self.count > self.limit:
             self.discard(self.take(0))
@@ -370,13 +399,16 @@
             self.discard(self.take(0))
 
     def close_idle_links(self) -> None:
-        """Close every connection that nobody uses."""
+        """Close all idle connections."""
         while self.idle:
             self.take(-1).close()
             self.count -= 1
 
     def retire(self) -> None:
-        """Take no new work; connections in use end with their work."""
+        """Close idle connections and fail the waiting requests.
+
+        Connections in use are closed when they are returned.
+        """
         self.retired = True
         self.close_idle_links()
         gone = NotOpened(OpenFailure.WRONG_SERVER, "the server has left")
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
@@ -1,4 +1,4 @@
-"""A statement of a caller, ready to be sent."""
+"""A caller's statement and the commands that carry it."""
 
 import attrs
 
@@ -10,13 +10,13 @@
 
 @attrs.frozen
 class Execution:
-    """A read or write and how it is named.
+    """A caller's read or write with its request id.
 
     Attributes:
-      request_id: The caller's id of the statement.
-      writes: Whether it changes data.
+      request_id: The caller's request id of the statement.
+      writes: Whether the statement changes data.
       text: The caller's text, or the arguments of a prepared statement.
-      prepared: The prepared statement that it executes, or None.
+      prepared: The prepared statement to execute, or None.
     """
 
     request_id: str
@@ -28,12 +28,14 @@
 def setup_commands(
     link: ServerLink, context: SessionContext, execution: Execution | None
 ) -> list[Command]:
-    """Return what makes a link fit a session, and note it as done.
+    """Return the commands that set up a link for a session.
+
+    The link's context is updated as if the commands had run.
 
     Args:
-      link: The link that the commands will be sent on.
-      context: What the session has set up.
-      execution: What is to run next, if anything.
+      link: The link on which the commands will be sent.
+      context: The session's settings and prepared statements.
+      execution: The next statement, or None.
     """
     prepared = execution.prepared if execution else None
     return [*link.memory.plan_setup(context, prepared)]
@@ -45,9 +47,9 @@
     """Return the command that carries a caller's statement.
 
     Args:
-      link: The link, set up for the session.
+      link: The link, already set up for the session.
       execution: The statement.
-      needed: The position that the server must have, or None.
+      needed: The position that the server must have reached, or None.
     """
     if execution.prepared is None:
         return Forward(execution.request_id, execution.text, needed)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/idle_transactions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/idle_transactions.py
@@ -1,4 +1,4 @@
-"""Ending transactions whose callers rest in them."""
+"""Rollback of transactions that exceed the idle limit."""
 
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.directory import Directory
@@ -7,18 +7,20 @@
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
 
-# The bound is seconds; checking it this often adds little to it.
+# The limit is several seconds, so this interval delays a rollback only a
+# little.
 CHECK_SECONDS = 0.5
 
 
 class IdleTransactions:
-    """Rolls back transactions that were idle for longer than allowed.
+    """Rolls back transactions that are idle for longer than allowed.
 
-    They hold a connection and locks, which other callers wait for.
+    An idle transaction holds a connection and locks that other callers wait
+    for.
 
     Attributes:
-      directory: Knows the bound.
-      front: Knows the sessions.
+      directory: Provides the idle limit.
+      front: Provides the sessions.
     """
 
     def __init__(
@@ -30,20 +32,20 @@
         self.subscription: Subscription | None = None
 
     async def start(self, timer: Timer) -> None:
-        """Begin to check.
+        """Start periodic checks.
 
         Args:
-          timer: Calls back.
+          timer: Schedules the checks.
         """
         self.subscription = timer.subscribe(
             "idle transactions", CHECK_SECONDS, self.check
         )
 
     async def check(self, now: float) -> None:
-        """Roll back what was idle for too long.
+        """Roll back transactions that exceed the idle limit.
 
         Args:
-          now: The timer's time.
+          now: The timer's time in seconds.
         """
         declarations = self.directory.declarations
         if declarations is None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/pool_maintenance.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/pool_maintenance.py
@@ -1,4 +1,4 @@
-"""Looking after idle connections."""
+"""Periodic maintenance of connection pools."""
 
 from jackdawcrank.relay.connection_pool import ConnectionPool
 from jackdawcrank.relay.directory import Directory
@@ -7,15 +7,15 @@
 from jackdawcrank.timer.timer import Timer
 from jackdawcrank_policy.placement import Distance
 
-# Idle connections are few and cheap; once a second is soon enough.
+# Idle connections are few and cheap, so a short interval has no benefit.
 MAINTENANCE_SECONDS = 1.0
 
 
 class PoolMaintenance:
-    """Opens connections ahead of use and closes those nobody needs.
+    """Updates the limits of all pools and closes surplus connections.
 
     Attributes:
-      directory: The groups.
+      directory: Provides the groups and their pools.
     """
 
     def __init__(self, directory: Directory) -> None:
@@ -23,36 +23,36 @@
         self.subscription: Subscription | None = None
 
     async def start(self, timer: Timer) -> None:
-        """Begin to look after the connections.
+        """Start periodic maintenance.
 
         Args:
-          timer: Calls back.
+          timer: Schedules the maintenance runs.
         """
         self.subscription = timer.subscribe(
             "lanes", MAINTENANCE_SECONDS, self.maintain
         )
 
     async def maintain(self, _now: float) -> None:
-        """Look at every lane.
+        """Update the limit of each pool and close surplus connections.
 
         Args:
-          _now: The timer's time.
+          _now: The timer's time in seconds.
         """
         for group in self.directory.groups.values():
             for pool in group.pools.values():
                 pool.limit = group.connection_limit()
                 pool.limiter.window.max_size = pool.limit
                 if not group.homes.is_home(group.group):
-                    # From the time when it took itself for a home.
+                    # They date from when this proxy was a home of the group.
                     pool.close_idle_links()
                 pool.trim(self.idle_target(group, pool))
 
     def idle_target(self, group: GroupRelay, pool: ConnectionPool) -> int:
-        """Return how many idle connections to keep.
+        """Return the number of idle connections to keep.
 
         Args:
-          group: The lane's group.
-          pool: The lane.
+          group: The pool's group.
+          pool: The pool.
         """
         if pool.server.leaving:
             return 0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_limiter.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_limiter.py
@@ -1,4 +1,4 @@
-"""The statements of this proxy under way at one server."""
+"""Concurrency limit for this proxy's statements on one server."""
 
 import asyncio
 import enum
@@ -11,28 +11,30 @@
     WaitLimits,
 )
 
-# Transactions under way hold locks and a connection: their statements go
-# before any new work, whose priorities begin at 0.
+# Open transactions hold locks and a connection, so their statements precede
+# new work, whose priorities begin at 0.
 TRANSACTION_PRIORITY = -1
 
 
 class LimiterResult(enum.Enum):
-    """Whether a statement may be sent."""
+    """Whether the limiter admitted a statement."""
 
     GRANTED = "granted"
     WAIT_LIMIT_EXCEEDED = "hopeless"
-    """Its turn did not come in time, or cannot."""
+    """It was not admitted, or could not be, before its deadline."""
 
 
 class StatementLimiter:
-    """Lets statements pass as the server can take them, the urgent first.
+    """Limits statements in flight by a congestion window.
+
+    Waiting statements are admitted in order of priority.
 
     Attributes:
-      window: How many may be under way.
-      under_way: How many are.
-      line: Who waits.
-      turn: How long statements take.
-      patience: How long newcomers should wait.
+      window: Maximum number of statements in flight.
+      in_flight_count: Number of statements in flight.
+      queue: Statements that wait to be admitted.
+      wait_estimator: Estimates queue waits from how long statements take.
+      overload_detector: Sets the wait limit of new statements.
     """
 
     def __init__(self, size: float, max_size: float) -> None:
@@ -49,7 +51,8 @@
         """Wait until a statement may be sent.
 
         Args:
-          limits: How it may wait, by the loop's clock.
+          limits: Priority and wait limits of the statement, in seconds on the
+            loop's clock.
         """
         now = self.loop.time()
         deadline = self.overload_detector.wait_deadline(
@@ -75,16 +78,16 @@
         return LimiterResult.GRANTED
 
     def has_room(self) -> bool:
-        """Return whether a statement would pass without waiting."""
+        """Return whether a statement would be admitted immediately."""
         return (
             self.window.admits(self.in_flight_count) and not self.queue.length
         )
 
     def leave(self, seconds: float) -> None:
-        """Take in that a statement is under way no more.
+        """Record that a statement has ended and admit waiting ones.
 
         Args:
-          seconds: How long it was.
+          seconds: How long the statement was in flight.
         """
         self.in_flight_count -= 1
         self.wait_estimator.record_hold(seconds)
@@ -92,11 +95,11 @@
         self.admit_waiting()
 
     def refused(self) -> None:
-        """Take in that the server was full."""
+        """Record that the server refused a statement because it was full."""
         self.window.refused(self.loop.time())
 
     def admit_waiting(self) -> None:
-        """Let those pass that may be sent now."""
+        """Admit waiting statements while the window has room."""
         while self.window.admits(self.in_flight_count):
             waiter = self.queue.pop(self.loop.time())
             if waiter is None:
