--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/control_commands.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/control_commands.py
@@ -1,4 +1,4 @@
-"""Questions and orders of the proxy itself to backend servers."""
+"""Control commands of the proxy to backend servers."""
 
 import asyncio
 import typing
@@ -23,23 +23,26 @@
 if typing.TYPE_CHECKING:
     from jackdawcrank.relay.group_relay import GroupRelay
 
-# Four times the farthest round trip (80 ms) and a delayed packet.
+# Allows four of the longest round trips (80 ms each) and a delayed packet.
 COMMAND_TIMEOUT_SECONDS = 0.4
-# A handshake needs a slot, which a full server has after some hundred ms.
+# A handshake needs a slot, and a full server may take several hundred ms to
+# provide one.
 CONNECT_TIMEOUT_SECONDS = 0.6
-# A full server refuses orders; it is asked again until the time is up.
+# A full server refuses commands, so they are repeated at this interval until
+# the time limit.
 BUSY_RETRY_SECONDS = 0.03
 
 
 @attrs.frozen
 class PrimaryCheck:
-    """What a server answered to the question whether it leads.
+    """Result of a check whether a server is the primary.
 
     Attributes:
-      pool: The server's connections.
-      alive: Whether it answered at all.
-      is_primary: Whether it leads.
-      term: The term of its last log entry; 0 if it did not say.
+      pool: The server's connection pool.
+      alive: Whether the server responded, if only with a refusal because it
+        was full.
+      is_primary: Whether the server is the primary.
+      term: The term of the server's last log entry, or 0 if unknown.
     """
 
     pool: ConnectionPool
@@ -50,11 +53,11 @@
 
 @attrs.frozen
 class StatusResult:
-    """What a server answered to a question about itself, or to an order.
+    """Result of a control command that is answered with a status.
 
     Attributes:
-      pool: The server's connections.
-      status: What it said of itself; None if it did not say.
+      pool: The server's connection pool.
+      status: The server's status, or None if it sent none.
     """
 
     pool: ConnectionPool
@@ -62,7 +65,9 @@
 
 
 class ControlCommands:
-    """Asks the servers of one group, past the line of waiting statements.
+    """Sends control commands to the servers of one group.
+
+    They do not wait in the queues of the callers' statements.
 
     Attributes:
       group: The group.
@@ -73,14 +78,14 @@
         self.loop = asyncio.get_running_loop()
 
     async def check_primary(self, pool: ConnectionPool) -> PrimaryCheck:
-        """Ask whether a server leads.
+        """Check whether a server is the primary.
 
-        An empty transaction that may write begins on the leading server
-        only and needs no slot, so that a full server answers at once. The
-        answer of a leading server is a floor, too.
+        Only the primary opens a read-write transaction. An empty one needs no
+        slot, so even a full server answers at once. The primary's answer also
+        provides a watermark.
 
         Args:
-          pool: The server's connections.
+          pool: The server's connection pool.
         """
         link = await pool.acquire_control_link(CONNECT_TIMEOUT_SECONDS)
         if isinstance(link, NotOpened):
@@ -107,7 +112,10 @@
     async def exchange(
         self, pool: ConnectionPool, link: ServerLink, commands: list[Command]
     ) -> list[Reply] | None:
-        """Send commands and give the link back; None without every reply."""
+        """Send commands and return all replies, or None if one is missing.
+
+        The link is returned to the pool, or closed if a reply is missing.
+        """
         start = self.loop.time()
         replies: list[Reply] = []
         for future in link.send(commands):
@@ -123,20 +131,22 @@
     async def check_primaries(
         self, pools: list[ConnectionPool]
     ) -> list[PrimaryCheck]:
-        """Ask several servers at once whether they lead.
+        """Check several servers at the same time.
 
         Args:
-          pools: The servers' connections.
+          pools: The servers' connection pools.
         """
         return await asyncio.gather(*(self.check_primary(one) for one in pools))
 
     async def send_command(
         self, pool: ConnectionPool, command: Command
     ) -> StatusResult:
-        """Send a question or an order that is answered with a status.
+        """Send a command that is answered with a status.
+
+        The command is repeated while the server is full.
 
         Args:
-          pool: The server's connections.
+          pool: The server's connection pool.
           command: The command.
         """
         deadline = self.loop.time() + COMMAND_TIMEOUT_SECONDS
@@ -155,7 +165,7 @@
             await asyncio.sleep(BUSY_RETRY_SECONDS)
 
     def status(self, link: ServerLink, reply: Reply) -> ServerStatus | None:
-        """Return a status, logging an answer that holds none."""
+        """Return the status in a reply; log a reply without one."""
         status = link.status_of(reply)
         if status is None:
             self.group.log.event(
@@ -169,10 +179,10 @@
     async def send_to_all(
         self, pools: list[ConnectionPool], command: Command
     ) -> list[StatusResult]:
-        """Send a question or an order to several servers at once.
+        """Send a command to several servers at the same time.
 
         Args:
-          pools: The servers' connections.
+          pools: The servers' connection pools.
           command: The command.
         """
         return await asyncio.gather(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -1,4 +1,4 @@
-"""What this proxy knows and holds of one group."""
+"""This proxy's state of one database group."""
 
 import asyncio
 import functools
@@ -28,27 +28,27 @@
 from jackdawcrank_policy.values.position import Position
 from jackdawcrank_policy.watermarks import WatermarkHistory
 
-# A floor is renewed at half of the age that it may have, so that even one that
-# takes a round trip between regions (80 ms) to get comes in time.
+# A watermark is renewed at half of its maximum age, so that the new one arrives
+# in time even after a round trip between regions (80 ms).
 REFRESH_SHARE = 0.5
-# Longer than that round trip and a handshake; then the read goes to the
-# primary itself.
+# Exceeds that round trip and a handshake. Without a watermark by then, the read
+# goes to the primary.
 WATERMARK_WAIT_SECONDS = 0.3
-# Statements that all homes together give a server at first, for each of its
-# slots: while one runs, the next is on its way.
+# Initial window per slot of a server, summed over all homes: while one statement
+# runs, the next is in transit.
 SLOT_WINDOW = 2.0
-# A server that crashed is back within seconds on our users' sites (7 s at
-# most); one that is gone for this long is gone for good.
+# A crashed server restarts within 7 s on our users' sites. A server that has
+# been missing for this long is assumed not to return.
 MISSING_SERVER_SECONDS = 30.0
-# How soon a waiting statement notices that a primary answers again.
+# Interval at which a waiting statement checks whether the primary answers again.
 PRIMARY_POLL_SECONDS = 0.1
 
 
 class ProxyLocation:
-    """Tells how far servers are from this proxy.
+    """Location of this proxy, from which distances to servers follow.
 
     Attributes:
-      data_center: Where this proxy runs.
+      data_center: The data centre of this proxy.
       regions: The region of each data centre.
     """
 
@@ -57,7 +57,7 @@
         self.regions = regions
 
     def distance(self, data_center: str) -> Distance:
-        """Return how far a data centre is.
+        """Return the distance of a data centre from this proxy.
 
         Args:
           data_center: The data centre.
@@ -74,24 +74,33 @@
 
 
 class GroupRelay:
-    """One group's servers, its primary, and how fresh each server is.
+    """The servers of one group, its primary and its watermarks.
 
     Attributes:
+      group: The group as configured.
       name: The group's name.
-      pools: The connections by server.
-      declared_version: The configuration in force.
-      watermarks: Positions that prove freshness.
-      questions: Asks the group's servers.
-      refreshing: Asks the primary for a floor, while that is under way.
-      doubt: Evidence against the present primary.
-      relief: Evidence that the present primary has to do everybody's work.
-      primary_id: The present primary, or None while there is none.
-      disowned: Servers that answered that they do not lead, by the revision
-        of the report that claims it.
-      homes: How the servers' connections are shared.
+      opener: Opens connections.
+      proxy_location: The location of this proxy.
+      pools: The connection pool of each server, by server id.
+      declared_version: Version of the configuration in force.
+      watermarks: Positions that prove how fresh a replica's data is.
+      control: Sends control commands to the group's servers.
+      refreshing: The task that asks the primary for a watermark, or None.
+      suspicion: Evidence that the current primary has failed.
+      switchover_trigger: Evidence that the replicas lag and the current
+        primary has to execute all reads.
+      primary_id: The current primary, or None if there is none.
+      primary_since: The revision of the first report in which each server
+        claims to be the primary, by server id. A promotion sets it above all
+        others. The highest one determines the primary.
+      not_primary_revisions: The report revision of each server that answered
+        that it is not the primary, by server id. Its report counts again from
+        the next revision.
+      homes: Divides the servers' connections among the homes.
       contact: Whether the store can be reached.
-      departed: Servers that went missing without leaving, and when.
-      last_primary_id: The latest primary, also when it is gone.
+      missing_servers: When each server disappeared from the store without
+        draining, in seconds on the loop's clock.
+      last_primary_id: The most recent primary, even if it is gone.
       changed: Set and replaced whenever the primary changes.
     """
 
@@ -127,10 +136,10 @@
         self.switchover_trigger = SwitchoverTrigger(self.loop.time())
 
     def apply_servers(self, servers: Iterable[ListedServer]) -> None:
-        """Take in the servers that the group has now.
+        """Update the group's pools and primary from the listed servers.
 
         Args:
-          servers: All of them, as they last reported themselves.
+          servers: The latest reports of all servers of the group.
         """
         listed = {one.server_id: one for one in servers}
         for server_id, pool in list(self.pools.items()):
@@ -147,7 +156,7 @@
         self.update_primary()
 
     def apply_server(self, server: ListedServer) -> None:
-        """Take in one server's report.
+        """Apply the report of one server.
 
         Args:
           server: The report.
@@ -187,11 +196,11 @@
             self.primary_since.setdefault(server.server_id, server.revision)
 
     def connection_limit(self) -> int:
-        """Return the connections of one server that this proxy may hold."""
+        """Return the maximum number of connections to one server."""
         return self.homes.plan(self.group).connections
 
     def update_primary(self) -> None:
-        """Decide which server leads, from reports and answers."""
+        """Determine the primary from the servers' reports and answers."""
         candidates = [
             (since, server_id)
             for server_id, since in self.primary_since.items()
@@ -210,10 +219,10 @@
         return self.pools[server_id].server.revision
 
     def set_primary(self, server_id: str | None) -> None:
-        """Make a server the present primary.
+        """Set the current primary.
 
         Args:
-          server_id: The server; None if there is none.
+          server_id: The server, or None if there is no primary.
         """
         if server_id == self.primary_id:
             return
@@ -232,9 +241,10 @@
         self.changed = asyncio.Event()
 
     def recently_missing(self) -> list[str]:
-        """Return servers that may be back any moment, unknown to the list.
+        """Return servers that recently disappeared from the store.
 
-        One of them may already confirm commits of a living primary.
+        Such a server may be running although it is not listed, and may confirm
+        commits of a primary that is still alive.
         """
         oldest = self.loop.time() - MISSING_SERVER_SECONDS
         self.missing_servers = {
@@ -247,7 +257,7 @@
         ]
 
     def promoted(self, server_id: str) -> None:
-        """Take in that the authority named a new primary.
+        """Record that the promotion of a server has taken effect.
 
         Args:
           server_id: The new primary.
@@ -260,10 +270,10 @@
         self.update_primary()
 
     def mark_not_primary(self, pool: ConnectionPool) -> None:
-        """Take in that a server answered that it does not lead.
+        """Record a server's answer that it is not the primary.
 
         Args:
-          pool: Its connections.
+          pool: The server's connection pool.
         """
         server = pool.server
         self.log.event(
@@ -277,17 +287,18 @@
         self.update_primary()
 
     def primary_pool(self) -> ConnectionPool | None:
-        """Return the connections of the present primary, or None."""
+        """Return the connection pool of the current primary, or None."""
         return self.pools.get(self.primary_id) if self.primary_id else None
 
     async def wait_for_primary(self, deadline: float) -> ConnectionPool | None:
-        """Return a primary's lane, waiting while one is being replaced.
+        """Return the primary's pool, waiting while the primary is replaced.
 
-        Without the store no proxy here can replace it, and none elsewhere
-        could tell: then whoever asks is better served by another proxy.
+        Without the store, no proxy here can replace the primary, and the result
+        of a replacement elsewhere would not be known here. This method then
+        returns None at once, so that the caller can turn to another proxy.
 
         Args:
-          deadline: When to give up, in seconds on the loop's clock.
+          deadline: End of the wait, in seconds on the loop's clock.
         """
         while True:
             pool = self.usable_primary()
@@ -306,7 +317,7 @@
                 continue
 
     def usable_primary(self) -> ConnectionPool | None:
-        """Return the primary's lane unless it is taken to be lost."""
+        """Return the primary's pool, or None if its failure is suspected."""
         pool = self.primary_pool()
         if pool is None:
             return None
@@ -324,13 +335,13 @@
         sent_at: float,
         wrote: bool = False,
     ) -> None:
-        """Take in a statement whose answer did not come.
+        """Record a statement that was not answered.
 
         Args:
-          pool: Where it was sent.
-          silent: Whether the connection stood all the while.
-          sent_at: When it was sent, in seconds on the loop's clock.
-          wrote: Whether it waited for replicas to confirm a commit.
+          pool: The connection pool of the server.
+          silent: Whether the connection remained open.
+          sent_at: When the statement was sent, in seconds on the loop's clock.
+          wrote: Whether the statement waited for replicas to confirm a commit.
         """
         if pool is not self.primary_pool():
             return
@@ -342,7 +353,7 @@
             self.suspicion.request_timed_out(sent_at)
 
     def idle_link_lost(self, server_id: str) -> None:
-        """Take in that a server ended a connection that nobody used.
+        """Record that a server closed an idle connection.
 
         Args:
           server_id: The server.
@@ -354,11 +365,11 @@
     def note_unreachable(
         self, pool: ConnectionPool, failure: OpenFailure
     ) -> None:
-        """Take in that no connection could be made.
+        """Record that no connection could be opened.
 
         Args:
-          pool: Where to.
-          failure: Why not.
+          pool: The connection pool of the server.
+          failure: The reason.
         """
         if pool is not self.primary_pool():
             return
@@ -371,12 +382,12 @@
     def choose_read_pool(
         self, now: float, needed: Position | None, excluded: set[str]
     ) -> ConnectionPool | None:
-        """Return where a read with a position should go, or None.
+        """Return the pool of the server for a read, or None.
 
         Args:
           now: The current time in seconds on the loop's clock.
-          needed: The position that the server must have.
-          excluded: Servers that have failed this read.
+          needed: The position that the server must have reached.
+          excluded: Ids of servers on which this read has failed.
         """
         chosen = choose_server(
             [
@@ -392,10 +403,10 @@
         return self.pools[chosen] if chosen else None
 
     def candidate(self, pool: ConnectionPool) -> ServerCandidate:
-        """Return a lane's server as the placement sees it.
+        """Return a pool's server as a candidate for a read.
 
         Args:
-          pool: The lane.
+          pool: The connection pool of the server.
         """
         return ServerCandidate(
             pool.server.server_id,
@@ -406,13 +417,13 @@
         )
 
     async def watermark(self, max_age: float) -> Position | None:
-        """Return a position that proves an age, or None.
+        """Return a position that a server with fresh enough data has, or None.
 
-        The primary is asked for a new one before the newest is too old, so
-        that reads neither wait for it nor all go to the primary at once.
+        A new watermark is fetched before the newest one is too old, so that
+        reads neither wait for it nor all go to the primary at the same time.
 
         Args:
-          max_age: The greatest age in seconds.
+          max_age: The maximum age of the data in seconds.
         """
         newest = self.watermarks.newest()
         now = boot_seconds()
@@ -427,14 +438,14 @@
         return watermark.position if watermark else None
 
     def refresh_watermark(self) -> None:
-        """Ask the primary for a floor, unless that is under way."""
+        """Start to fetch a watermark unless a fetch is in progress."""
         pool = self.usable_primary()
         if pool is None or self.refreshing or not pool.has_spare_link():
             return
         self.refreshing = self.loop.create_task(self.fetch_watermark(pool))
 
     async def fetch_watermark(self, pool: ConnectionPool) -> None:
-        """Ask a server that should lead where its log ends."""
+        """Fetch the log position of the presumed primary."""
         try:
             await self.control.check_primary(pool)
         finally:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -1,4 +1,4 @@
-"""Running callers' statements on the servers of their groups."""
+"""Execution of callers' statements on the servers of their groups."""
 
 import asyncio
 import typing
@@ -29,19 +29,19 @@
 from jackdawcrank_policy.values.position import Position
 from jackdawcrank_policy.waiting import OVERLOAD_WAIT_SHARE, WaitLimits
 
-# An answer this many times later than expected is taken for lost: our users'
-# longest work is 12 times the mean.
+# An answer that takes this many times the expected time counts as lost. Our
+# users' longest statements take 12 times the mean.
 LATE_ANSWER_FACTOR = 12.0
-# Not below the farthest round trip (80 ms) and a full server's queue.
+# Exceeds the longest round trip (80 ms) and the wait in a full server's queue.
 MIN_ATTEMPT_SECONDS = 0.3
-# A second attempt needs the other half of a statement's time.
+# Leaves half of a statement's time to a second attempt.
 MAX_ATTEMPT_SHARE = 0.5
-# A statement is not sent with less time left than this many times what its
-# answer should take: a write that is given up is in doubt, and a read that is
-# given up has only kept the server from others.
+# A statement is sent only if the remaining time is at least this multiple of the
+# expected answer time. A write that times out is in doubt, and a read that times
+# out has wasted a slot of the server.
 SEND_FACTOR = 3.0
-# The age of data counts until the server reads it: a round trip between
-# regions (80 ms), twice, and a late timer.
+# The age of data counts until the server reads it. Allows two round trips between
+# regions (80 ms each) and a late timer.
 AGE_MARGIN_SECONDS = 0.25
 NO_PRIMARY = "no primary"
 UNSERVABLE = "no primary, and no store to find one"
@@ -53,18 +53,20 @@
 
 @attrs.define
 class Attempts:
-    """The attempts of one statement.
+    """The attempts to run one statement.
 
     Attributes:
-      deadline: When the statement must have its answer.
-      started_at: When it came.
-      count: Attempts that were made.
-      excluded: Servers that have failed it.
-      lagged: Whether a replica lacked the position.
-      reason: What went wrong last.
-      hopeless: Whether its turn cannot come in time.
-      server: The server of the latest attempt.
-      needed: The position that a replica had to have in it.
+      deadline: When the statement must be answered, in seconds on the loop's
+        clock.
+      started_at: When the statement arrived, in seconds on the loop's clock.
+      count: Number of attempts.
+      excluded: Ids of servers on which the statement has failed.
+      lagged: Whether the primary lacked the required position.
+      reason: Why the latest attempt failed.
+      wait_limit_exceeded: Whether the primary's queue could not admit the
+        statement in time.
+      server: Id of the server of the latest attempt.
+      needed: The position that a replica needed in the latest attempt.
     """
 
     deadline: float
@@ -79,11 +81,11 @@
 
 
 class StatementRunner:
-    """Places statements, sends them and repeats what may be repeated.
+    """Selects servers for statements, sends them and retries safe ones.
 
     Attributes:
-      directory: Finds databases.
-      log: Where decisions are told.
+      directory: Resolves databases.
+      log: Receives the decisions.
     """
 
     def __init__(self, directory: Resolver, log: DecisionLog) -> None:
@@ -97,7 +99,7 @@
         """Run a statement outside a transaction.
 
         Args:
-          session: Whose it is; its database is resolved.
+          session: The caller's session, with its database resolved.
           execution: The statement.
         """
         spec, group = resolved(session)
@@ -118,7 +120,7 @@
         return reply
 
     def can_retry(self, group: GroupRelay, attempts: Attempts) -> bool:
-        """Return whether another attempt can be of use."""
+        """Return whether another attempt may succeed."""
         if (
             attempts.wait_limit_exceeded
             or self.loop.time() >= attempts.deadline
@@ -135,7 +137,7 @@
         attempts: Attempts,
         reply: Reply,
     ) -> None:
-        """Log what became of a statement."""
+        """Log and count the result of a statement."""
         spec, group = resolved(session)
         seconds = self.loop.time() - attempts.started_at
         outcome = reply.problem.value if reply.problem else "done"
@@ -157,7 +159,7 @@
         )
 
     async def pause(self, attempts: Attempts) -> None:
-        """Wait a little before the next attempt."""
+        """Wait before the next attempt."""
         remaining = attempts.deadline - self.loop.time()
         if attempts.count > 1 and remaining > 0:
             delay = refusal_backoff_seconds(min(attempts.count - 2, 8))
@@ -169,7 +171,7 @@
         execution: Execution,
         attempts: Attempts,
     ) -> Reply | None:
-        """Make one attempt to write; None if it did not run."""
+        """Attempt to write once; return None if nothing ran."""
         spec, group = resolved(session)
         acquired = await self.acquire_primary_link(session, attempts)
         if acquired is None:
@@ -209,7 +211,7 @@
         execution: Execution,
         attempts: Attempts,
     ) -> Reply | None:
-        """Make one attempt to read; None if there is no answer."""
+        """Attempt to read once; return None if the read should be retried."""
         spec, group = resolved(session)
         needed = await self.needed_position(session, attempts)
         attempts.needed = needed
@@ -243,7 +245,7 @@
         reply: Reply,
         attempts: Attempts,
     ) -> Reply | None:
-        """Return an answer to a read that may be given, or None."""
+        """Return a reply that the caller may receive, or None."""
         if reply.problem is None:
             pool.condition.caught_up()
             if pool is not group.primary_pool():
@@ -266,7 +268,7 @@
         future: asyncio.Future[Reply],
         attempts: Attempts,
     ) -> Reply | None:
-        """Wait for the answer to a read as long as it is worth it."""
+        """Wait for the reply to a read; return None if it is overdue or lost."""
         start = self.loop.time()
         limit = self.attempt_seconds(pool, attempts, start)
         reply = await await_result(
@@ -291,19 +293,21 @@
         start: float,
         limit: float,
     ) -> None:
-        """Take in that the answer to a statement did not come.
+        """Record that a statement was not answered.
 
         Args:
           group: The statement's group.
-          pool: Where it was sent.
-          link: The connection that it was sent on.
-          attempts: Its attempts.
+          pool: The connection pool of the server.
+          link: The connection on which the statement was sent.
+          attempts: The statement's attempts.
           start: When it was sent, in seconds on the loop's clock.
-          limit: How long an answer was waited for, unless time ran out.
+          limit: Time limit of the attempt in seconds; the wait is shorter if
+            the statement's deadline comes first.
         """
         now = self.loop.time()
         if not link.closed and now - start < limit:
-            # This says nothing about the server.
+            # Neither the statement's deadline nor a lost reply is evidence
+            # against the server.
             late = now >= attempts.deadline
             attempts.reason = OUT_OF_TIME if late else ANSWER_LOST
             return
@@ -317,7 +321,7 @@
     def attempt_seconds(
         self, pool: ConnectionPool, attempts: Attempts, now: float
     ) -> float:
-        """Return how long an answer to a read is waited for."""
+        """Return the time limit for the reply of one attempt, in seconds."""
         expected = pool.condition.expected_seconds(now, MIN_ATTEMPT_SECONDS)
         max_seconds = (
             attempts.deadline - attempts.started_at
@@ -329,7 +333,7 @@
     async def needed_position(
         self, session: SessionView, attempts: Attempts
     ) -> Position | None:
-        """Return the position that a replica must have, or None."""
+        """Return the position that a replica needs, or None for the primary."""
         spec, group = resolved(session)
         if spec.consistency is Consistency.PRIMARY or attempts.lagged:
             return None
@@ -349,10 +353,11 @@
         execution: Execution,
         attempts: Attempts,
     ) -> Reply | None:
-        """Read where every commit is, and prove that the server led.
+        """Read from the primary, verifying that it is the primary.
 
-        A server that has just lost the lead still answers a bare read, but
-        refuses the statements of a transaction that may write.
+        The read runs in a read-write transaction: a server that has just
+        ceased to be the primary still answers a read outside a transaction,
+        but refuses the statements of a read-write transaction.
         """
         spec, group = resolved(session)
         acquired = await self.acquire_primary_link(session, attempts)
@@ -390,7 +395,7 @@
         reply: Reply,
         attempts: Attempts,
     ) -> None:
-        """Take in an answer that says that nothing ran."""
+        """Record a reply which says that the statement did not run."""
         problem = typing.cast(Problem, reply.problem)
         attempts.reason = problem.value
         now = self.loop.time()
@@ -409,11 +414,14 @@
     async def begin(
         self, session: SessionView, execution: Execution | None
     ) -> OpenTransaction | Reply:
-        """Open a transaction on the server that fits it.
+        """Open a transaction on a suitable server.
 
         Args:
-          session: Whose it is; its database is resolved.
-          execution: Its first statement, if there is one.
+          session: The caller's session, with its database resolved.
+          execution: The first statement of the transaction, or None.
+
+        Returns:
+          The transaction, or a reply that refuses it.
         """
         spec, group = resolved(session)
         now = self.loop.time()
@@ -440,7 +448,7 @@
         execution: Execution | None,
         attempts: Attempts,
     ) -> OpenTransaction | None:
-        """Make one attempt to open a transaction."""
+        """Attempt to open a transaction once; return None on failure."""
         spec, group = resolved(session)
         needed = None
         pool = None
@@ -499,7 +507,7 @@
     async def acquire_link(
         self, pool: ConnectionPool, session: SessionView, attempts: Attempts
     ) -> ServerLink | None:
-        """Return a connection of a lane, or None."""
+        """Return a connection of a pool, or None if there is none in time."""
         spec, group = resolved(session)
         attempts.server = pool.server.server_id
         granted = await pool.acquire(
@@ -521,7 +529,7 @@
     def wait_limits(
         self, spec: DatabaseSpec, pool: ConnectionPool, attempts: Attempts
     ) -> WaitLimits:
-        """Return how a statement may wait for a connection of a lane."""
+        """Return how long a statement may wait for a connection of a pool."""
         now = self.loop.time()
         seconds = attempts.deadline - attempts.started_at
         expected = pool.condition.expected_seconds(now, MIN_ATTEMPT_SECONDS)
@@ -533,7 +541,7 @@
     def give_back(
         self, pool: ConnectionPool, link: ServerLink, broken: bool
     ) -> None:
-        """Give a connection back after a statement."""
+        """Return a connection to its pool after a statement, or close it."""
         if broken:
             pool.discard(link)
         else:
@@ -541,10 +549,13 @@
 
 
 def resolved(session: SessionView) -> tuple[DatabaseSpec, GroupRelay]:
-    """Return a session's database and group as it found them.
+    """Return a session's resolved database and group.
 
     Args:
       session: The session.
+
+    Raises:
+      RuntimeError: The session's database has not been resolved.
     """
     if session.spec is None or session.group is None:
         raise RuntimeError("the session's database is not resolved")
--- a/packages/jackdawcrank-proxy/tests/relay/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/relay/conftest.py
@@ -1,4 +1,4 @@
-"""Servers that tests answer for."""
+"""Fake server connections whose replies are set by the tests."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -18,10 +18,10 @@
 
 @attrs.define(eq=False)
 class FakeLink:
-    """A connection whose replies the test sets.
+    """A connection whose replies are set by the test.
 
     Attributes:
-      sent: The commands so far, each with its reply to come.
+      sent: The commands sent so far, each with the future of its reply.
     """
 
     memory: ConnectionContext = attrs.Factory(ConnectionContext)
@@ -48,11 +48,11 @@
 
 @attrs.define(eq=False)
 class FakeOpener:
-    """Opens connections when the test says so.
+    """Opens connections when the test calls `let_one_open`.
 
     Attributes:
-      waiting: Openings under way.
-      opened: Connections that were opened.
+      waiting: The futures of connections that are being opened.
+      opened: The connections that have been opened.
     """
 
     waiting: list[asyncio.Future[FakeLink | NotOpened]] = attrs.Factory(list)
@@ -74,7 +74,7 @@
 
 
 async def settle() -> None:
-    """Let every task run as far as it can."""
+    """Run all tasks until they block."""
     for _ in range(20):
         await asyncio.sleep(0)
 
--- a/packages/jackdawcrank-proxy/tests/relay/test_connection_pool.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_connection_pool.py
@@ -38,12 +38,12 @@
     await settle()
     for _ in range(2):
         await opener.let_one_open()
-    # Two run, and the server is taken to be full.
+    # Two statements run, which fills the limiter's window.
     assert pool.limiter.in_flight_count == 2
     assert opener.waiting == [] and pool.count == 2
     pool.release(opener.opened[0])
     await settle()
-    # What came back goes to the next one in line.
+    # The released connection goes to the next request in the queue.
     assert pool.limiter.in_flight_count == 2 and pool.queue.length == 3
     for task in requests:
         task.cancel()
@@ -57,7 +57,7 @@
     for _ in range(2):
         await opener.let_one_open()
     assert opener.waiting == []
-    # A transaction keeps its connection and rests.
+    # A transaction keeps its connection between statements.
     pool.end_statement(opener.opened[0])
     assert len(opener.waiting) == 0
     await settle()
