--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
@@ -341,7 +341,9 @@
 
     async def open_one(self) -> None:
         """Open one connection and pass it to a waiting request."""
-        outcome: OpenResult = NotOpened(OpenFailure.REFUSED, "closing")
+        outcome: OpenResult = NotOpened(
+            OpenFailure.REFUSED, "opening was cancelled"
+        )
         try:
             outcome = await self.opener.open(self.server, OPEN_TIMEOUT_SECONDS)
         finally:
@@ -411,7 +413,7 @@
         """
         self.retired = True
         self.close_idle_links()
-        gone = NotOpened(OpenFailure.WRONG_SERVER, "the server has left")
+        gone = NotOpened(OpenFailure.WRONG_SERVER, "the server was removed")
         for waiting in self.queue.clear():
             if not waiting.done():
                 waiting.set_result(gone)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -34,13 +34,14 @@
 # Exceeds that round trip and a handshake. Without a watermark by then, the read
 # goes to the primary.
 WATERMARK_WAIT_SECONDS = 0.3
-# Initial window per slot of a server, summed over all homes: while one statement
-# runs, the next is in transit.
+# Initial window per slot of a server, summed over all homes: while one
+# statement runs, the next is in transit.
 SLOT_WINDOW = 2.0
 # A crashed server restarts within 7 s on our users' sites. A server that has
 # been missing for this long is assumed not to return.
 MISSING_SERVER_SECONDS = 30.0
-# Interval at which a waiting statement checks whether the primary answers again.
+# Interval at which a waiting statement checks whether the primary answers
+# again.
 PRIMARY_POLL_SECONDS = 0.1
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -36,12 +36,12 @@
 MIN_ATTEMPT_SECONDS = 0.3
 # Leaves half of a statement's time to a second attempt.
 MAX_ATTEMPT_SHARE = 0.5
-# A statement is sent only if the remaining time is at least this multiple of the
-# expected answer time. A write that times out is in doubt, and a read that times
-# out has wasted a slot of the server.
+# A statement is sent only if the remaining time is at least this multiple of
+# the expected answer time. A write that times out is in doubt, and a read that
+# times out has wasted a slot of the server.
 SEND_FACTOR = 3.0
-# The age of data counts until the server reads it. Allows two round trips between
-# regions (80 ms each) and a late timer.
+# The age of data counts until the server reads it. Allows two round trips
+# between regions (80 ms each) and a late timer.
 AGE_MARGIN_SECONDS = 0.25
 NO_PRIMARY = "no primary"
 UNSERVABLE = "no primary, and no store to find one"
@@ -268,7 +268,7 @@
         future: asyncio.Future[Reply],
         attempts: Attempts,
     ) -> Reply | None:
-        """Wait for the reply to a read; return None if it is overdue or lost."""
+        """Wait for the reply to a read; return None if overdue or lost."""
         start = self.loop.time()
         limit = self.attempt_seconds(pool, attempts, start)
         reply = await await_result(
--- a/packages/jackdawcrank-proxy/tests/relay/test_connection_pool.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_connection_pool.py
@@ -86,7 +86,7 @@
 ) -> None:
     requests = [request(pool) for _ in range(3)]
     await settle()
-    refused = NotOpened(OpenFailure.REFUSED, "nobody listens")
+    refused = NotOpened(OpenFailure.REFUSED, "connection refused")
     opener.waiting.pop(0).set_result(refused)
     assert await asyncio.gather(*requests) == [refused] * 3
     assert pool.count == 0
