--- /dev/null
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
@@ -0,0 +1,419 @@
+"""Pool of this proxy's connections to one backend server."""
+
+import asyncio
+import functools
+from collections.abc import Callable
+
+import attrs
+
+from jackdawcrank.decisions import DecisionLog
+from jackdawcrank.relay.statement_limiter import (
+    TRANSACTION_PRIORITY,
+    LimiterResult,
+    StatementLimiter,
+)
+from jackdawcrank.seams.replies import SessionState
+from jackdawcrank.seams.server_link import (
+    LinkOpener,
+    NotOpened,
+    OpenFailure,
+    ServerLink,
+)
+from jackdawcrank_policy.catalog import ListedServer
+from jackdawcrank_policy.placement import ServerCondition
+from jackdawcrank_policy.sessions import SessionContext
+from jackdawcrank_policy.waiting import (
+    OverloadDetector,
+    PriorityWaitQueue,
+    WaitEstimator,
+    WaitLimits,
+)
+
+# Exceeds two round trips between regions (40 ms each), a handshake that waits
+# for slots of a full server (27 ms each) and a delayed packet.
+OPEN_TIMEOUT_SECONDS = 1.0
+# With a smaller window, a slot would be idle for a round trip between regions
+# after each statement.
+MIN_WINDOW = 2.0
+# Connections that are idle for longer are closed, so that other proxies can
+# use the server's slots.
+IDLE_SECONDS = 12.0
+# Delay before the next attempt to connect to a full server, in which other
+# proxies may close connections.
+FULL_PAUSE_SECONDS = 0.25
+# A handshake occupies one of the server's slots (3 to 6) for 12 to 27 ms, and
+# many proxies connect at the same time when all of them start.
+MAX_OPENING = 1
+
+OpenResult = ServerLink | NotOpened
+
+
+@attrs.frozen
+class WaitLimitExceeded:
+    """The statement was not admitted, or could not be, before its deadline."""
+
+
+@attrs.frozen
+class IdleLink:
+    """An idle connection.
+
+    Attributes:
+      link: The connection.
+      since: When it became idle, in seconds on the loop's clock.
+    """
+
+    link: ServerLink
+    since: float
+
+
+class ConnectionPool:
+    """Connection pool of one server, with a queue ordered by priority.
+
+    Attributes:
+      server: The server's latest report.
+      opener: Opens connections.
+      limit: Maximum number of connections of this proxy.
+      condition: State of the server as observed by this proxy.
+      idle: Idle connections, the most recently used last.
+      count: Number of connections that are open or being opened.
+      opening: Number of connections that are being opened.
+      full_until: No connection is opened before this time, in seconds on the
+        loop's clock, because the server was full.
+      in_use: The time at which each connection in use was checked out, in
+        seconds on the loop's clock.
+      queue: Requests that wait for a connection.
+      wait_estimator: Estimates queue waits from how long connections are in
+        use.
+      overload_detector: Sets the wait limit of new requests.
+      limiter: Limits the statements in flight on the server.
+      executing: The time at which each connection with a statement in flight
+        started it, in seconds on the loop's clock.
+      retired: Whether the server has been removed.
+      on_lost: Called when the server closes an idle connection.
+    """
+
+    def __init__(
+        self,
+        server: ListedServer,
+        opener: LinkOpener,
+        limit: int,
+        window: float,
+        log: DecisionLog,
+        on_lost: Callable[[], None],
+    ) -> None:
+        self.on_lost = on_lost
+        self.server = server
+        self.opener = opener
+        self.limit = limit
+        self.log = log
+        self.condition = ServerCondition()
+        self.idle: list[IdleLink] = []
+        self.count = 0
+        self.opening = 0
+        self.full_until = 0.0
+        self.limiter = StatementLimiter(max(MIN_WINDOW, window), limit)
+        self.executing: dict[ServerLink, float] = {}
+        self.wait_estimator = WaitEstimator()
+        self.overload_detector = OverloadDetector()
+        self.in_use: dict[ServerLink, float] = {}
+        self.queue: PriorityWaitQueue[asyncio.Future[OpenResult]] = (
+            PriorityWaitQueue()
+        )
+        self.retired = False
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.loop = asyncio.get_running_loop()
+
+    async def acquire(
+        self, context: SessionContext, limits: WaitLimits
+    ) -> OpenResult | WaitLimitExceeded:
+        """Return a connection on which a statement may be sent.
+
+        Waits for a connection if all are in use, and then for the limiter.
+
+        Args:
+          context: The session's settings and prepared statements. The idle
+            connection that differs least from them is preferred.
+          limits: Priority and wait limits of the statement, in seconds on the
+            loop's clock.
+
+        Returns:
+          The connection, why none could be opened, or that the wait limit was
+          exceeded.
+        """
+        granted = await self.connect(context, limits)
+        if isinstance(granted, (NotOpened, WaitLimitExceeded)):
+            return granted
+        # The connection is acquired before the limiter, since a statement that
+        # the limiter has admitted must not wait for a connection: transactions
+        # keep their connections while their statements wait for the limiter.
+        if await self.limiter.enter(limits) is LimiterResult.GRANTED:
+            self.executing[granted] = self.loop.time()
+            return granted
+        self.release(granted)
+        return WaitLimitExceeded()
+
+    async def connect(
+        self, context: SessionContext, limits: WaitLimits
+    ) -> OpenResult | WaitLimitExceeded:
+        """Return an idle or new connection, or wait for one."""
+        now = self.loop.time()
+        deadline = self.overload_detector.wait_deadline(
+            now, self.queue.length, limits
+        )
+        link = self.take_idle(context)
+        if link is not None:
+            return self.check_out(link)
+        ahead = self.queue.ahead_of(limits.priority)
+        wait = self.wait_estimator.wait_seconds(ahead, self.limit)
+        if self.count >= self.limit and now + wait >= deadline:
+            return WaitLimitExceeded()
+        granted: asyncio.Future[OpenResult] = self.loop.create_future()
+        waiter = self.queue.enqueue(limits.priority, deadline, granted)
+        self.open_more()
+        try:
+            async with asyncio.timeout_at(deadline):
+                return self.check_out(await granted)
+        except TimeoutError:
+            if granted.done() and not granted.cancelled():
+                return self.check_out(granted.result())
+            return WaitLimitExceeded()
+        finally:
+            self.queue.cancel(waiter)
+
+    def check_out(self, granted: OpenResult) -> OpenResult:
+        """Record that a connection is in use from now on."""
+        if not isinstance(granted, NotOpened):
+            self.in_use[granted] = self.loop.time()
+            self.condition.running = len(self.in_use)
+        return granted
+
+    def check_in(self, link: ServerLink) -> None:
+        """Record that a connection is no longer in use."""
+        self.end_statement(link)
+        used_since = self.in_use.pop(link, None)
+        if used_since is not None:
+            self.wait_estimator.record_hold(self.loop.time() - used_since)
+            self.condition.running = len(self.in_use)
+
+    def end_statement(self, link: ServerLink) -> None:
+        """Record that a connection in use has no statement in flight."""
+        sent_at = self.executing.pop(link, None)
+        if sent_at is not None:
+            self.limiter.leave(self.loop.time() - sent_at)
+            self.open_more()
+
+    async def begin_statement(self, link: ServerLink, deadline: float) -> bool:
+        """Wait until a transaction's next statement may be sent.
+
+        Returns False if the deadline passed or if the connection was returned
+        to the pool or closed in the meantime.
+
+        Args:
+          link: The transaction's connection.
+          deadline: End of the wait, in seconds on the loop's clock.
+        """
+        limits = WaitLimits(TRANSACTION_PRIORITY, deadline, deadline)
+        if await self.limiter.enter(limits) is not LimiterResult.GRANTED:
+            return False
+        if link not in self.in_use:
+            self.limiter.leave(0.0)
+            return False
+        self.executing[link] = self.loop.time()
+        return True
+
+    def queue_nonempty_seconds(self) -> float:
+        """Return for how long a queue has been non-empty, in seconds."""
+        now = self.loop.time()
+        return max(
+            self.overload_detector.nonempty_seconds(now),
+            self.limiter.overload_detector.nonempty_seconds(now),
+        )
+
+    def has_spare_link(self) -> bool:
+        """Return whether a connection is idle or may be opened."""
+        return bool(self.idle) or self.count < self.limit
+
+    async def acquire_control_link(self, timeout_seconds: float) -> OpenResult:
+        """Return a connection for a control command.
+
+        The pool's limit does not apply to it.
+
+        Args:
+          timeout_seconds: Time limit for opening a connection.
+        """
+        while self.idle:
+            link = self.take(-1)
+            if not link.closed:
+                return link
+            self.count -= 1
+        opened = await self.opener.open(self.server, timeout_seconds)
+        if not isinstance(opened, NotOpened):
+            self.count += 1
+        return opened
+
+    def take_idle(self, context: SessionContext) -> ServerLink | None:
+        """Return the idle connection that needs the least setup, or None."""
+        while self.idle:
+            best = min(
+                range(len(self.idle)),
+                key=lambda index: (
+                    self.idle[index].link.context.count_differences(context),
+                    -index,
+                ),
+            )
+            link = self.take(best)
+            if not link.closed:
+                return link
+            self.count -= 1
+        return None
+
+    def take(self, index: int) -> ServerLink:
+        """Remove a connection from the idle ones and return it."""
+        link = self.idle.pop(index).link
+        link.on_closed = None
+        return link
+
+    def idle_closed(self, link: ServerLink) -> None:
+        """Remove an idle connection that the server has closed."""
+        kept = [one for one in self.idle if one.link is not link]
+        self.count -= len(self.idle) - len(kept)
+        self.idle = kept
+        self.on_lost()
+
+    def release(self, link: ServerLink) -> None:
+        """Return a connection to the pool.
+
+        A connection in a transaction is closed.
+
+        Args:
+          link: The connection.
+        """
+        self.check_in(link)
+        if link.state is not SessionState.IDLE:
+            # The next statement on it would run inside this transaction.
+            self.log.event(
+                "connection_not_idle",
+                server=self.server.server_id,
+                state=link.state.value,
+            )
+            self.discard(link)
+            return
+        if link.closed or self.retired or self.count > self.limit:
+            self.discard(link)
+            return
+        now = self.loop.time()
+        while (waiter := self.queue.pop(now)) is not None:
+            if not waiter.item.done():
+                waiter.item.set_result(link)
+                return
+        self.idle.append(IdleLink(link, now))
+        link.on_closed = functools.partial(self.idle_closed, link)
+
+    def discard(self, link: ServerLink) -> None:
+        """Close a connection that cannot be reused.
+
+        Args:
+          link: The connection.
+        """
+        self.check_in(link)
+        link.close()
+        self.count -= 1
+        self.open_more()
+
+    def open_more(self) -> None:
+        """Open a connection if a request waits that could use it now."""
+        if self.retired or self.loop.time() < self.full_until:
+            return
+        # A request with a new connection would only wait for the limiter.
+        if not self.limiter.has_room():
+            return
+        wanted = min(self.queue.length, MAX_OPENING)
+        while self.opening < wanted and self.count < self.limit:
+            self.start_opening()
+
+    def start_opening(self) -> None:
+        """Start to open one connection."""
+        self.count += 1
+        self.opening += 1
+        task = self.loop.create_task(self.open_one())
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    async def open_one(self) -> None:
+        """Open one connection and pass it to a waiting request."""
+        outcome: OpenResult = NotOpened(
+            OpenFailure.REFUSED, "opening was cancelled"
+        )
+        try:
+            outcome = await self.opener.open(self.server, OPEN_TIMEOUT_SECONDS)
+        finally:
+            self.opening -= 1
+            if isinstance(outcome, NotOpened):
+                self.count -= 1
+        if isinstance(outcome, NotOpened):
+            self.open_failed(outcome)
+        else:
+            self.condition.position_seen(outcome.first_position)
+            self.release(outcome)
+        # The request that got this connection enters the limiter first.
+        self.loop.call_soon(self.open_more)
+
+    def open_failed(self, outcome: NotOpened) -> None:
+        """Fail the waiting requests, as no connection could be opened.
+
+        If the server is full and connections are open, the requests continue
+        to wait for one of these.
+
+        Args:
+          outcome: The reason.
+        """
+        now = self.loop.time()
+        self.log.event(
+            "connection_failed",
+            server=self.server.server_id,
+            group=self.server.group,
+            reason=outcome.failure.value,
+            detail=outcome.detail,
+            held=self.count,
+        )
+        if outcome.failure is OpenFailure.FULL:
+            self.full_until = now + FULL_PAUSE_SECONDS
+            self.loop.call_later(FULL_PAUSE_SECONDS, self.open_more)
+            if self.count:
+                return
+        else:
+            self.condition.failed(now)
+        for waiting in self.queue.clear():
+            if not waiting.done():
+                waiting.set_result(outcome)
+
+    def trim(self, keep: int) -> None:
+        """Close idle connections beyond the limit or idle for too long.
+
+        Args:
+          keep: Number of idle connections that are kept however long they
+            have been idle.
+        """
+        while self.idle and self.count > self.limit:
+            self.discard(self.take(0))
+        oldest = self.loop.time() - IDLE_SECONDS
+        while len(self.idle) > keep and self.idle[0].since < oldest:
+            self.discard(self.take(0))
+
+    def close_idle_links(self) -> None:
+        """Close all idle connections."""
+        while self.idle:
+            self.take(-1).close()
+            self.count -= 1
+
+    def retire(self) -> None:
+        """Close idle connections and fail the waiting requests.
+
+        Connections in use are closed when they are returned.
+        """
+        self.retired = True
+        self.close_idle_links()
+        gone = NotOpened(OpenFailure.WRONG_SERVER, "the server was removed")
+        for waiting in self.queue.clear():
+            if not waiting.done():
+                waiting.set_result(gone)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from jackdawcrank.decisions import DecisionLog
-from jackdawcrank.relay.group_relay import GroupRelay, Whereabouts
+from jackdawcrank.relay.group_relay import GroupRelay, ProxyLocation
 from jackdawcrank.relay.homes import Homes
 from jackdawcrank.relay.store_health import StoreHealth
 from jackdawcrank.seams.declaration_source import DeclarationFormat
@@ -41,7 +41,7 @@
         self,
         declaration_format: DeclarationFormat,
         opener: LinkOpener,
-        whereabouts: Whereabouts,
+        whereabouts: ProxyLocation,
         store_health: StoreHealth,
         homes: Homes,
         log: DecisionLog,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -1,4 +1,4 @@
-"""What this proxy knows and holds of one group."""
+"""This proxy's state of one database group."""
 
 import asyncio
 import functools
@@ -6,13 +6,15 @@
 
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.clocks import boot_seconds
+from jackdawcrank.relay.connection_pool import (
+    OPEN_TIMEOUT_SECONDS,
+    ConnectionPool,
+)
+from jackdawcrank.relay.control_commands import ControlCommands
 from jackdawcrank.relay.homes import Homes
-from jackdawcrank.relay.server_lane import OPEN_TIMEOUT_SECONDS, ServerLane
-from jackdawcrank.relay.server_questions import ServerQuestions
 from jackdawcrank.relay.store_health import StoreHealth
 from jackdawcrank.seams.server_link import LinkOpener, OpenFailure
 from jackdawcrank_policy.catalog import ListedServer, ServedGroup
-from jackdawcrank_policy.floors import WatermarkHistory
 from jackdawcrank_policy.placement import (
     Distance,
     ServerCandidate,
@@ -24,28 +26,30 @@
     SwitchoverTrigger,
 )
 from jackdawcrank_policy.values.position import Position
+from jackdawcrank_policy.watermarks import WatermarkHistory
 
-# A floor is renewed at half of the age that it may have, so that even one that
-# takes a round trip between regions (80 ms) to get comes in time.
+# A watermark is renewed at half of its maximum age, so that the new one arrives
+# in time even after a round trip between regions (80 ms).
 REFRESH_SHARE = 0.5
-# Longer than that round trip and a handshake; then the read goes to the
-# primary itself.
-FLOOR_WAIT_SECONDS = 0.3
-# Statements that all homes together give a server at first, for each of its
-# slots: while one runs, the next is on its way.
+# Exceeds that round trip and a handshake. Without a watermark by then, the read
+# goes to the primary.
+WATERMARK_WAIT_SECONDS = 0.3
+# Initial window per slot of a server, summed over all homes: while one
+# statement runs, the next is in transit.
 SLOT_WINDOW = 2.0
-# A server that crashed is back within seconds on our users' sites (7 s at
-# most); one that is gone for this long is gone for good.
-RETURN_SECONDS = 30.0
-# How soon a waiting statement notices that a primary answers again.
-LOOK_AGAIN_SECONDS = 0.1
+# A crashed server restarts within 7 s on our users' sites. A server that has
+# been missing for this long is assumed not to return.
+MISSING_SERVER_SECONDS = 30.0
+# Interval at which a waiting statement checks whether the primary answers
+# again.
+PRIMARY_POLL_SECONDS = 0.1
 
 
-class Whereabouts:
-    """Tells how far servers are from this proxy.
+class ProxyLocation:
+    """Location of this proxy, from which distances to servers follow.
 
     Attributes:
-      data_center: Where this proxy runs.
+      data_center: The data centre of this proxy.
       regions: The region of each data centre.
     """
 
@@ -54,38 +58,50 @@
         self.regions = regions
 
     def distance(self, data_center: str) -> Distance:
-        """Return how far a data centre is.
+        """Return the distance of a data centre from this proxy.
 
         Args:
           data_center: The data centre.
         """
         if data_center == self.data_center:
             return Distance.DATA_CENTER
-        here = self.regions.get(self.data_center)
-        if here is not None and self.regions.get(data_center) == here:
+        own_region = self.regions.get(self.data_center)
+        if (
+            own_region is not None
+            and self.regions.get(data_center) == own_region
+        ):
             return Distance.REGION
         return Distance.ELSEWHERE
 
 
 class GroupRelay:
-    """One group's servers, its primary, and how fresh each server is.
+    """The servers of one group, its primary and its watermarks.
 
     Attributes:
+      group: The group as configured.
       name: The group's name.
-      lanes: The connections by server.
-      declared_version: The configuration in force.
-      watermarks: Positions that prove freshness.
-      questions: Asks the group's servers.
-      refreshing: Asks the primary for a floor, while that is under way.
-      doubt: Evidence against the present primary.
-      relief: Evidence that the present primary has to do everybody's work.
-      primary_id: The present primary, or None while there is none.
-      disowned: Servers that answered that they do not lead, by the revision
-        of the report that claims it.
-      homes: How the servers' connections are shared.
+      opener: Opens connections.
+      proxy_location: The location of this proxy.
+      pools: The connection pool of each server, by server id.
+      declared_version: Version of the configuration in force.
+      watermarks: Positions that prove how fresh a replica's data is.
+      control: Sends control commands to the group's servers.
+      refreshing: The task that asks the primary for a watermark, or None.
+      suspicion: Evidence that the current primary has failed.
+      switchover_trigger: Evidence that the replicas lag and the current
+        primary has to execute all reads.
+      primary_id: The current primary, or None if there is none.
+      primary_since: The revision of the first report in which each server
+        claims to be the primary, by server id. A promotion sets it above all
+        others. The highest one determines the primary.
+      not_primary_revisions: The report revision of each server that answered
+        that it is not the primary, by server id. Its report counts again from
+        the next revision.
+      homes: Divides the servers' connections among the homes.
       contact: Whether the store can be reached.
-      departed: Servers that went missing without leaving, and when.
-      last_primary_id: The latest primary, also when it is gone.
+      missing_servers: When each server disappeared from the store without
+        draining, in seconds on the loop's clock.
+      last_primary_id: The most recent primary, even if it is gone.
       changed: Set and replaced whenever the primary changes.
     """
 
@@ -93,7 +109,7 @@
         self,
         group: ServedGroup,
         opener: LinkOpener,
-        whereabouts: Whereabouts,
+        proxy_location: ProxyLocation,
         contact: StoreHealth,
         homes: Homes,
         log: DecisionLog,
@@ -103,52 +119,52 @@
         self.group = group
         self.name = group.name
         self.opener = opener
-        self.whereabouts = whereabouts
+        self.proxy_location = proxy_location
         self.log = log
-        self.lanes: dict[str, ServerLane] = {}
+        self.pools: dict[str, ConnectionPool] = {}
         self.declared_version = 0
         self.watermarks = WatermarkHistory()
-        self.questions = ServerQuestions(self)
+        self.control = ControlCommands(self)
         self.refreshing: asyncio.Task[None] | None = None
-        self.doubt = PrimarySuspicion()
+        self.suspicion = PrimarySuspicion()
         self.primary_id: str | None = None
-        self.lead_since: dict[str, int] = {}
-        self.disowned: dict[str, int] = {}
-        self.departed: dict[str, float] = {}
+        self.primary_since: dict[str, int] = {}
+        self.not_primary_revisions: dict[str, int] = {}
+        self.missing_servers: dict[str, float] = {}
         self.last_primary_id: str | None = None
         self.changed = asyncio.Event()
         self.loop = asyncio.get_running_loop()
-        self.relief = SwitchoverTrigger(self.loop.time())
+        self.switchover_trigger = SwitchoverTrigger(self.loop.time())
 
     def apply_servers(self, servers: Iterable[ListedServer]) -> None:
-        """Take in the servers that the group has now.
+        """Update the group's pools and primary from the listed servers.
 
         Args:
-          servers: All of them, as they last reported themselves.
+          servers: The latest reports of all servers of the group.
         """
         listed = {one.server_id: one for one in servers}
-        for server_id, lane in list(self.lanes.items()):
+        for server_id, pool in list(self.pools.items()):
             server = listed.get(server_id)
-            if server is None or not server.same_process(lane.server):
-                lane.retire()
-                del self.lanes[server_id]
-                if not lane.server.leaving:
-                    self.departed[server_id] = self.loop.time()
-                self.lead_since.pop(server_id, None)
+            if server is None or not server.same_process(pool.server):
+                pool.retire()
+                del self.pools[server_id]
+                if not pool.server.leaving:
+                    self.missing_servers[server_id] = self.loop.time()
+                self.primary_since.pop(server_id, None)
                 self.log.event("server_gone", group=self.name, server=server_id)
         for server in listed.values():
             self.apply_server(server)
-        self.settle_primary()
+        self.update_primary()
 
     def apply_server(self, server: ListedServer) -> None:
-        """Take in one server's report.
+        """Apply the report of one server.
 
         Args:
           server: The report.
         """
-        lane = self.lanes.get(server.server_id)
-        if lane is None:
-            lane = ServerLane(
+        pool = self.pools.get(server.server_id)
+        if pool is None:
+            pool = ConnectionPool(
                 server,
                 self.opener,
                 self.connection_limit(),
@@ -156,7 +172,7 @@
                 self.log,
                 functools.partial(self.idle_link_lost, server.server_id),
             )
-            self.lanes[server.server_id] = lane
+            self.pools[server.server_id] = pool
             self.log.event(
                 "server_listed",
                 group=self.name,
@@ -165,7 +181,7 @@
                 leaving=server.leaving,
                 revision=server.revision,
             )
-        elif lane.server != server:
+        elif pool.server != server:
             self.log.event(
                 "server_reported",
                 group=self.name,
@@ -174,24 +190,25 @@
                 leaving=server.leaving,
                 revision=server.revision,
             )
-        lane.server = server
+        pool.server = server
         if not server.reports_primary:
-            self.lead_since.pop(server.server_id, None)
+            self.primary_since.pop(server.server_id, None)
         else:
-            self.lead_since.setdefault(server.server_id, server.revision)
+            self.primary_since.setdefault(server.server_id, server.revision)
 
     def connection_limit(self) -> int:
-        """Return the connections of one server that this proxy may hold."""
+        """Return the maximum number of connections to one server."""
         return self.homes.plan(self.group).connections
 
-    def settle_primary(self) -> None:
-        """Decide which server leads, from reports and answers."""
-        claims = [
+    def update_primary(self) -> None:
+        """Determine the primary from the servers' reports and answers."""
+        candidates = [
             (since, server_id)
-            for server_id, since in self.lead_since.items()
-            if self.disowned.get(server_id) != self.revision(server_id)
+            for server_id, since in self.primary_since.items()
+            if self.not_primary_revisions.get(server_id)
+            != self.revision(server_id)
         ]
-        primary = max(claims)[1] if claims else None
+        primary = max(candidates)[1] if candidates else None
         self.set_primary(primary)
 
     def revision(self, server_id: str) -> int:
@@ -200,13 +217,13 @@
         Args:
           server_id: A listed server.
         """
-        return self.lanes[server_id].server.revision
+        return self.pools[server_id].server.revision
 
     def set_primary(self, server_id: str | None) -> None:
-        """Make a server the present primary.
+        """Set the current primary.
 
         Args:
-          server_id: The server; None if there is none.
+          server_id: The server, or None if there is no primary.
         """
         if server_id == self.primary_id:
             return
@@ -217,212 +234,220 @@
             new=server_id,
         )
         if server_id and self.last_primary_id not in (None, server_id):
-            self.relief.primary_replaced(self.loop.time())
+            self.switchover_trigger.primary_replaced(self.loop.time())
         self.primary_id = server_id
         self.last_primary_id = server_id or self.last_primary_id
-        self.doubt = PrimarySuspicion()
+        self.suspicion = PrimarySuspicion()
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def unaccounted(self) -> list[str]:
-        """Return servers that may be back any moment, unknown to the list.
+    def recently_missing(self) -> list[str]:
+        """Return servers that recently disappeared from the store.
 
-        One of them may already confirm commits of a living primary.
+        Such a server may be running although it is not listed, and may confirm
+        commits of a primary that is still alive.
         """
-        oldest = self.loop.time() - RETURN_SECONDS
-        self.departed = {
+        oldest = self.loop.time() - MISSING_SERVER_SECONDS
+        self.missing_servers = {
             server_id: since
-            for server_id, since in self.departed.items()
-            if since >= oldest and server_id not in self.lanes
+            for server_id, since in self.missing_servers.items()
+            if since >= oldest and server_id not in self.pools
         }
-        return [one for one in self.departed if one != self.last_primary_id]
+        return [
+            one for one in self.missing_servers if one != self.last_primary_id
+        ]
 
     def promoted(self, server_id: str) -> None:
-        """Take in that the authority named a new primary.
+        """Record that the promotion of a server has taken effect.
 
         Args:
           server_id: The new primary.
         """
-        if server_id not in self.lanes:
+        if server_id not in self.pools:
             return
-        newest = max(self.lead_since.values(), default=0)
-        self.lead_since[server_id] = newest + 1
-        self.disowned.pop(server_id, None)
-        self.settle_primary()
+        newest = max(self.primary_since.values(), default=0)
+        self.primary_since[server_id] = newest + 1
+        self.not_primary_revisions.pop(server_id, None)
+        self.update_primary()
 
-    def disown(self, lane: ServerLane) -> None:
-        """Take in that a server answered that it does not lead.
+    def mark_not_primary(self, pool: ConnectionPool) -> None:
+        """Record a server's answer that it is not the primary.
 
         Args:
-          lane: Its connections.
+          pool: The server's connection pool.
         """
-        server = lane.server
+        server = pool.server
         self.log.event(
             "not_primary",
             group=self.name,
             server=server.server_id,
             revision=server.revision,
         )
-        self.disowned[server.server_id] = server.revision
-        self.lead_since.pop(server.server_id, None)
-        self.settle_primary()
+        self.not_primary_revisions[server.server_id] = server.revision
+        self.primary_since.pop(server.server_id, None)
+        self.update_primary()
 
-    def primary_lane(self) -> ServerLane | None:
-        """Return the connections of the present primary, or None."""
-        return self.lanes.get(self.primary_id) if self.primary_id else None
+    def primary_pool(self) -> ConnectionPool | None:
+        """Return the connection pool of the current primary, or None."""
+        return self.pools.get(self.primary_id) if self.primary_id else None
 
-    async def wait_for_primary(self, deadline: float) -> ServerLane | None:
-        """Return a primary's lane, waiting while one is being replaced.
+    async def wait_for_primary(self, deadline: float) -> ConnectionPool | None:
+        """Return the primary's pool, waiting while the primary is replaced.
 
-        Without the store no proxy here can replace it, and none elsewhere
-        could tell: then whoever asks is better served by another proxy.
+        Without the store, no proxy here can replace the primary, and the result
+        of a replacement elsewhere would not be known here. This method then
+        returns None at once, so that the caller can turn to another proxy.
 
         Args:
-          deadline: When to give up, in seconds on the loop's clock.
+          deadline: End of the wait, in seconds on the loop's clock.
         """
         while True:
-            lane = self.usable_primary()
-            if lane is not None:
-                return lane
+            pool = self.usable_primary()
+            if pool is not None:
+                return pool
             now = self.loop.time()
             if self.contact.lost or now >= deadline:
                 return None
             changed = self.changed
             try:
                 async with asyncio.timeout_at(
-                    min(deadline, now + LOOK_AGAIN_SECONDS)
+                    min(deadline, now + PRIMARY_POLL_SECONDS)
                 ):
                     await changed.wait()
             except TimeoutError:
                 continue
 
-    def usable_primary(self) -> ServerLane | None:
-        """Return the primary's lane unless it is taken to be lost."""
-        lane = self.primary_lane()
-        if lane is None:
+    def usable_primary(self) -> ConnectionPool | None:
+        """Return the primary's pool, or None if its failure is suspected."""
+        pool = self.primary_pool()
+        if pool is None:
             return None
-        doubt = self.doubt.suspected_failure(self.loop.time())
+        suspicion = self.suspicion.suspected_failure(self.loop.time())
         return (
-            lane
-            if doubt in (FailureKind.NONE, FailureKind.UNCONFIRMED)
+            pool
+            if suspicion in (FailureKind.NONE, FailureKind.UNCONFIRMED)
             else None
         )
 
     def note_lost(
         self,
-        lane: ServerLane,
+        pool: ConnectionPool,
         silent: bool,
         sent_at: float,
         wrote: bool = False,
     ) -> None:
-        """Take in a statement whose answer did not come.
+        """Record a statement that was not answered.
 
         Args:
-          lane: Where it was sent.
-          silent: Whether the connection stood all the while.
-          sent_at: When it was sent, in seconds on the loop's clock.
-          wrote: Whether it waited for replicas to confirm a commit.
+          pool: The connection pool of the server.
+          silent: Whether the connection remained open.
+          sent_at: When the statement was sent, in seconds on the loop's clock.
+          wrote: Whether the statement waited for replicas to confirm a commit.
         """
-        if lane is not self.primary_lane():
+        if pool is not self.primary_pool():
             return
         if not silent:
-            self.doubt.connection_refused(self.loop.time())
+            self.suspicion.connection_refused(self.loop.time())
         elif wrote:
-            self.doubt.write_unconfirmed(sent_at)
+            self.suspicion.write_unconfirmed(sent_at)
         else:
-            self.doubt.request_timed_out(sent_at)
+            self.suspicion.request_timed_out(sent_at)
 
     def idle_link_lost(self, server_id: str) -> None:
-        """Take in that a server ended a connection that nobody used.
+        """Record that a server closed an idle connection.
 
         Args:
           server_id: The server.
         """
-        lane = self.lanes.get(server_id)
-        if lane is not None:
-            self.note_lost(lane, silent=False, sent_at=self.loop.time())
+        pool = self.pools.get(server_id)
+        if pool is not None:
+            self.note_lost(pool, silent=False, sent_at=self.loop.time())
 
-    def note_unreachable(self, lane: ServerLane, failure: OpenFailure) -> None:
-        """Take in that no connection could be made.
+    def note_unreachable(
+        self, pool: ConnectionPool, failure: OpenFailure
+    ) -> None:
+        """Record that no connection could be opened.
 
         Args:
-          lane: Where to.
-          failure: Why not.
+          pool: The connection pool of the server.
+          failure: The reason.
         """
-        if lane is not self.primary_lane():
+        if pool is not self.primary_pool():
             return
         now = self.loop.time()
         if failure is OpenFailure.SILENT:
-            self.doubt.request_timed_out(now - OPEN_TIMEOUT_SECONDS)
+            self.suspicion.request_timed_out(now - OPEN_TIMEOUT_SECONDS)
         elif failure is not OpenFailure.FULL:
-            self.doubt.connection_refused(now)
+            self.suspicion.connection_refused(now)
 
-    def read_lane(
+    def choose_read_pool(
         self, now: float, needed: Position | None, excluded: set[str]
-    ) -> ServerLane | None:
-        """Return where a read with a position should go, or None.
+    ) -> ConnectionPool | None:
+        """Return the pool of the server for a read, or None.
 
         Args:
           now: The current time in seconds on the loop's clock.
-          needed: The position that the server must have.
-          excluded: Servers that have failed this read.
+          needed: The position that the server must have reached.
+          excluded: Ids of servers on which this read has failed.
         """
         chosen = choose_server(
             [
-                self.candidate(lane)
-                for lane in self.lanes.values()
-                if not lane.server.leaving
-                and lane.server.server_id not in excluded
+                self.candidate(pool)
+                for pool in self.pools.values()
+                if not pool.server.leaving
+                and pool.server.server_id not in excluded
             ],
             now,
             needed,
             self.primary_id,
         )
-        return self.lanes[chosen] if chosen else None
+        return self.pools[chosen] if chosen else None
 
-    def candidate(self, lane: ServerLane) -> ServerCandidate:
-        """Return a lane's server as the placement sees it.
+    def candidate(self, pool: ConnectionPool) -> ServerCandidate:
+        """Return a pool's server as a candidate for a read.
 
         Args:
-          lane: The lane.
+          pool: The connection pool of the server.
         """
         return ServerCandidate(
-            lane.server.server_id,
-            self.whereabouts.distance(lane.server.data_center),
-            lane.server.slots,
-            lane.condition,
-            lane.line.length + lane.gate.line.length,
+            pool.server.server_id,
+            self.proxy_location.distance(pool.server.data_center),
+            pool.server.slots,
+            pool.condition,
+            pool.queue.length + pool.limiter.queue.length,
         )
 
-    async def floor(self, max_age: float) -> Position | None:
-        """Return a position that proves an age, or None.
+    async def watermark(self, max_age: float) -> Position | None:
+        """Return a position that a server with fresh enough data has, or None.
 
-        The primary is asked for a new one before the newest is too old, so
-        that reads neither wait for it nor all go to the primary at once.
+        A new watermark is fetched before the newest one is too old, so that
+        reads neither wait for it nor all go to the primary at the same time.
 
         Args:
-          max_age: The greatest age in seconds.
+          max_age: The maximum age of the data in seconds.
         """
         newest = self.watermarks.newest()
         now = boot_seconds()
         if newest is None or now - newest.asked_at > max_age * REFRESH_SHARE:
-            self.refresh_floor()
-        floor = self.watermarks.oldest_within(now, max_age)
-        if floor is None and self.refreshing is not None:
-            await asyncio.wait([self.refreshing], timeout=FLOOR_WAIT_SECONDS)
-            floor = self.watermarks.oldest_within(boot_seconds(), max_age)
-        return floor.position if floor else None
-
-    def refresh_floor(self) -> None:
-        """Ask the primary for a floor, unless that is under way."""
-        lane = self.usable_primary()
-        if lane is None or self.refreshing or not lane.has_spare_link():
+            self.refresh_watermark()
+        watermark = self.watermarks.oldest_within(now, max_age)
+        if watermark is None and self.refreshing is not None:
+            await asyncio.wait(
+                [self.refreshing], timeout=WATERMARK_WAIT_SECONDS
+            )
+            watermark = self.watermarks.oldest_within(boot_seconds(), max_age)
+        return watermark.position if watermark else None
+
+    def refresh_watermark(self) -> None:
+        """Start to fetch a watermark unless a fetch is in progress."""
+        pool = self.usable_primary()
+        if pool is None or self.refreshing or not pool.has_spare_link():
             return
-        self.refreshing = self.loop.create_task(self.ask_for_floor(lane))
+        self.refreshing = self.loop.create_task(self.fetch_watermark(pool))
 
-    async def ask_for_floor(self, lane: ServerLane) -> None:
-        """Ask a server that should lead where its log ends."""
+    async def fetch_watermark(self, pool: ConnectionPool) -> None:
+        """Fetch the log position of the presumed primary."""
         try:
-            await self.questions.leads(lane)
+            await self.control.check_primary(pool)
         finally:
             self.refreshing = None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -8,9 +8,9 @@
 
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.claim_rows import ClaimRows, HeldClaim
+from jackdawcrank.relay.connection_pool import ConnectionPool
+from jackdawcrank.relay.control_commands import StatusResult
 from jackdawcrank.relay.group_relay import GroupRelay
-from jackdawcrank.relay.server_lane import ServerLane
-from jackdawcrank.relay.server_questions import Questioned
 from jackdawcrank.seams.commands import (
     AskStatus,
     Freeze,
@@ -96,7 +96,7 @@
         rng: random.Random,
     ) -> None:
         self.group = group
-        self.questions = group.questions
+        self.questions = group.control
         self.vm = vm
         self.process = process
         self.claims = claims
@@ -117,10 +117,10 @@
         reason = self.reason()
         if reason is not None:
             self.start_task(self.replace(reason))
-        elif self.group.primary_lane() is None:
-            if self.group.lanes:
+        elif self.group.primary_pool() is None:
+            if self.group.pools:
                 self.start_task(self.poll_for_primary())
-        elif self.group.doubt.has_evidence():
+        elif self.group.suspicion.has_evidence():
             self.start_task(self.probe_primary())
 
     def start_task(self, work: Work) -> None:
@@ -146,9 +146,9 @@
     def reason(self) -> str | None:
         """Return why the primary must be replaced, or None if it need not."""
         now = self.loop.time()
-        lane = self.group.primary_lane()
+        lane = self.group.primary_pool()
         if lane is None:
-            if not self.group.lanes:
+            if not self.group.pools:
                 return None
             if self.primary_missing_since is None:
                 self.primary_missing_since = now
@@ -157,10 +157,12 @@
         self.primary_missing_since = None
         if lane.server.leaving:
             return LEAVING
-        doubt = self.group.doubt.suspected_failure(now)
-        if doubt is not FailureKind.NONE:
-            return str(doubt.value)
-        if self.group.relief.lag_check_due(now, lane.full_for()):
+        suspicion = self.group.suspicion.suspected_failure(now)
+        if suspicion is not FailureKind.NONE:
+            return str(suspicion.value)
+        if self.group.switchover_trigger.lag_check_due(
+            now, lane.queue_nonempty_seconds()
+        ):
             return REPLICAS_LAG
         return None
 
@@ -171,11 +173,11 @@
 
     async def probe_primary(self) -> None:
         """Probe a suspected primary."""
-        lane = self.group.primary_lane()
+        lane = self.group.primary_pool()
         if lane is None:
             return
         start = self.loop.time()
-        await self.questions.leads(lane)
+        await self.questions.check_primary(lane)
         self.not_before = start + 2 * POLL_SECONDS
 
     async def replace(self, reason: str) -> None:
@@ -189,13 +191,13 @@
             return
         if reason == MISSING and await self.find_primary():
             return
-        old_primary = self.group.primary_lane()
+        old_primary = self.group.primary_pool()
         old_id = old_primary.server.server_id if old_primary else ""
         if (
             reason == FailureKind.UNCONFIRMED.value
             and await self.any_replica_caught_up()
         ):
-            self.group.doubt.commit_acknowledged()
+            self.group.suspicion.commit_acknowledged()
             return
         if reason == REPLICAS_LAG and not await self.all_replicas_lag():
             self.not_before = self.loop.time() + RETRY_SECONDS
@@ -204,7 +206,7 @@
         if (
             lost
             and old_primary is not None
-            and (await self.questions.leads(old_primary)).alive
+            and (await self.questions.check_primary(old_primary)).alive
         ):
             return
         held_claim = await self.claims.claim(
@@ -253,14 +255,14 @@
 
     async def caught_up_replicas(self) -> list[ServerStatus]:
         """Return the status of replicas that received all primary entries."""
-        primary = self.group.primary_lane()
+        primary = self.group.primary_pool()
         if primary is None:
             return []
-        primary_reply = await self.questions.ask(primary, AskStatus())
+        primary_reply = await self.questions.send_command(primary, AskStatus())
         if primary_reply.status is None:
             return []
         replicas = self.replicas(primary)
-        answers = await self.questions.ask_all(replicas, AskStatus())
+        answers = await self.questions.send_to_all(replicas, AskStatus())
         return [
             one.status
             for one in answers
@@ -268,15 +270,15 @@
             and one.status.received >= primary_reply.status.received
         ]
 
-    def replicas(self, primary: ServerLane | None) -> list[ServerLane]:
-        """Return the lanes of all servers except the primary."""
-        return [one for one in self.group.lanes.values() if one is not primary]
+    def replicas(self, primary: ConnectionPool | None) -> list[ConnectionPool]:
+        """Return the pools of all servers except the primary."""
+        return [one for one in self.group.pools.values() if one is not primary]
 
     def next_term(self) -> int:
         """Return a term above every term that this proxy has seen."""
         terms = [
             one.condition.position.term
-            for one in self.group.lanes.values()
+            for one in self.group.pools.values()
             if one.condition.position
         ]
         newest = self.group.watermarks.newest()
@@ -285,7 +287,7 @@
         return max(terms, default=0) + 1
 
     async def fail_over(
-        self, held_claim: HeldClaim, old_primary: ServerLane | None
+        self, held_claim: HeldClaim, old_primary: ConnectionPool | None
     ) -> "ReplacementResult":
         """Freeze the replicas and promote the most advanced one.
 
@@ -297,20 +299,20 @@
         replicas = self.replicas(old_primary)
         if await self.adopt_primary(replicas):
             return ReplacementResult.NOTHING_DONE
-        answers = await self.questions.ask_all(replicas, AskStatus())
+        answers = await self.questions.send_to_all(replicas, AskStatus())
         term = max(
             [self.next_term()]
             + [one.status.term + 1 for one in answers if one.status]
         )
-        answers = await self.questions.ask_all(replicas, Freeze(term))
+        answers = await self.questions.send_to_all(replicas, Freeze(term))
         choice = choose_successor(
             [
                 FrozenServer(
-                    one.lane.server.server_id,
+                    one.pool.server.server_id,
                     one.status.received,
-                    one.lane.server.leaving,
-                    self.group.whereabouts.distance(
-                        one.lane.server.data_center
+                    one.pool.server.leaving,
+                    self.group.proxy_location.distance(
+                        one.pool.server.data_center
                     ),
                 )
                 for one in answers
@@ -318,7 +320,7 @@
             ],
             [
                 *(one.server.server_id for one in replicas),
-                *self.group.unaccounted(),
+                *self.group.recently_missing(),
             ],
             self.group.group.confirming_replicas,
         )
@@ -345,14 +347,14 @@
         )
         return await self.promote_server(claim, choice.server_id, answers)
 
-    async def thaw(self, frozen: list[Questioned]) -> None:
+    async def thaw(self, frozen: list[StatusResult]) -> None:
         """Let frozen replicas receive entries again."""
-        await self.questions.ask_all(
-            [one.lane for one in frozen if one.status is not None], Thaw()
+        await self.questions.send_to_all(
+            [one.pool for one in frozen if one.status is not None], Thaw()
         )
 
     async def promote_server(
-        self, claim: Claim, server_id: str, frozen: list[Questioned]
+        self, claim: Claim, server_id: str, frozen: list[StatusResult]
     ) -> "ReplacementResult":
         """Order the promotion of a server, repeatedly until it is answered.
 
@@ -393,7 +395,7 @@
             await asyncio.sleep(2 * POLL_SECONDS)
 
     async def await_promotion(
-        self, server_id: str, frozen: list[Questioned]
+        self, server_id: str, frozen: list[StatusResult]
     ) -> "ReplacementResult":
         """Wait until a promoted server leads, then thaw the others.
 
@@ -406,14 +408,14 @@
           frozen: The frozen replicas.
         """
         deadline = self.loop.time() + PROMOTION_EFFECT_SECONDS
-        lane = self.group.lanes.get(server_id)
+        lane = self.group.pools.get(server_id)
         while lane is not None and self.loop.time() < deadline:
-            if (await self.questions.leads(lane)).leads:
+            if (await self.questions.check_primary(lane)).is_primary:
                 self.group.promoted(server_id)
-                await self.thaw([one for one in frozen if one.lane is not lane])
+                await self.thaw([one for one in frozen if one.pool is not lane])
                 return ReplacementResult.DONE
             await asyncio.sleep(POLL_SECONDS)
-            lane = self.group.lanes.get(server_id)
+            lane = self.group.pools.get(server_id)
         self.log.event(
             "promotion_without_effect",
             group=self.group.name,
@@ -426,19 +428,19 @@
 
         Their reports in the store may be outdated or unreachable.
         """
-        return await self.adopt_primary(list(self.group.lanes.values()))
+        return await self.adopt_primary(list(self.group.pools.values()))
 
-    async def adopt_primary(self, lanes: list[ServerLane]) -> bool:
+    async def adopt_primary(self, pools: list[ConnectionPool]) -> bool:
         """Record the server that leads as primary; return whether one does.
 
         Args:
-          lanes: The servers to ask.
+          pools: The servers to ask.
         """
-        answers = await self.questions.leads_all(lanes)
+        answers = await self.questions.check_primaries(pools)
         leading = [
-            (one.term, one.lane.server.server_id)
+            (one.term, one.pool.server.server_id)
             for one in answers
-            if one.leads
+            if one.is_primary
         ]
         if not leading:
             return False
@@ -446,7 +448,7 @@
         return True
 
     async def switch_over(
-        self, held_claim: HeldClaim, old_primary: ServerLane
+        self, held_claim: HeldClaim, old_primary: ConnectionPool
     ) -> "ReplacementResult":
         """Switch over from a primary that is reachable.
 
@@ -456,21 +458,25 @@
           held_claim: The claim on the succession.
           old_primary: The primary.
         """
-        primary_reply = await self.questions.leads(old_primary)
-        if primary_reply.alive and not primary_reply.leads:
+        primary_reply = await self.questions.check_primary(old_primary)
+        if primary_reply.alive and not primary_reply.is_primary:
             # Another process has replaced it in the meantime.
             await self.find_primary()
             return ReplacementResult.NOTHING_DONE
         staying_replicas = [
             one for one in self.replicas(old_primary) if not one.server.leaving
         ]
-        answers = await self.questions.ask_all(staying_replicas, AskStatus())
+        answers = await self.questions.send_to_all(
+            staying_replicas, AskStatus()
+        )
         if not any(one.status for one in answers):
             self.log.event("no_successor", group=self.group.name, missing=())
             return ReplacementResult.NOTHING_DONE
         terms = [one.status.term + 1 for one in answers if one.status]
         term = max([self.next_term(), *terms])
-        step_down_reply = await self.questions.ask(old_primary, StepDown(term))
+        step_down_reply = await self.questions.send_command(
+            old_primary, StepDown(term)
+        )
         if step_down_reply.status is None:
             return await self.fail_over(held_claim, old_primary)
         final_position = step_down_reply.status.received
@@ -487,21 +493,21 @@
         return await self.promote_server(held_claim.claim, server_id, [])
 
     async def wait_for_position(
-        self, lanes: list[ServerLane], position: Position
+        self, pools: list[ConnectionPool], position: Position
     ) -> str | None:
         """Return the nearest replica that received a position, or None."""
         deadline = self.loop.time() + CATCH_UP_TIMEOUT_SECONDS
         while self.loop.time() < deadline:
-            answers = await self.questions.ask_all(lanes, AskStatus())
+            answers = await self.questions.send_to_all(pools, AskStatus())
             candidates = [
-                one.lane
+                one.pool
                 for one in answers
                 if one.status and one.status.received >= position
             ]
             if candidates:
                 nearest = min(
                     candidates,
-                    key=lambda one: self.group.whereabouts.distance(
+                    key=lambda one: self.group.proxy_location.distance(
                         one.server.data_center
                     ),
                 )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -7,13 +7,13 @@
 
 from jackdawcrank.relay.await_reply import await_result
 from jackdawcrank.relay.clocks import boot_seconds
+from jackdawcrank.relay.connection_pool import ConnectionPool
 from jackdawcrank.relay.execution import (
     Execution,
     forward_command,
     setup_commands,
 )
-from jackdawcrank.relay.full_server import pause_seconds
-from jackdawcrank.relay.server_lane import ServerLane
+from jackdawcrank.relay.refusal_backoff import refusal_backoff_seconds
 from jackdawcrank.relay.session_view import SessionView
 from jackdawcrank.seams.commands import Command, ForwardCommit, UndoTransaction
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
@@ -51,7 +51,7 @@
     def __init__(
         self,
         group: "GroupRelay",
-        lane: ServerLane,
+        lane: ConnectionPool,
         link: ServerLink,
         on_primary: bool,
         timeout_seconds: float,
@@ -114,7 +114,7 @@
         """
         refusals = 0
         while True:
-            pause = pause_seconds(refusals)
+            pause = refusal_backoff_seconds(refusals)
             reply = await self.send_once(commands, deadline)
             if (
                 not isinstance(reply, Reply)
@@ -123,7 +123,7 @@
                 or self.loop.time() + pause >= deadline
             ):
                 return reply
-            self.lane.gate.refused()
+            self.lane.limiter.refused()
             await asyncio.sleep(pause)
             refusals += 1
             commands = commands[-1:]
@@ -132,7 +132,7 @@
         self, commands: list[Command], deadline: float
     ) -> Reply | NotSent | None:
         """Send commands once they are admitted; return the last reply."""
-        if not await self.lane.resume(self.link, deadline):
+        if not await self.lane.begin_statement(self.link, deadline):
             return NotSent()
         if self.ended:
             # The transaction was rolled back while the statement waited.
@@ -144,14 +144,14 @@
             return await await_result(future, deadline)
         finally:
             self.running = False
-            self.lane.rest(self.link)
+            self.lane.end_statement(self.link)
 
     def record_reply(self, sent_at: float, start: float, reply: Reply) -> None:
         """Update the state of the server and the group from a reply."""
         condition = self.lane.condition
         condition.position_seen(reply.position)
         if reply.problem is Problem.NOT_PRIMARY:
-            self.group.disown(self.lane)
+            self.group.mark_not_primary(self.lane)
         elif reply.problem is None:
             condition.answered(self.loop.time() - start, self.loop.time())
             if self.on_primary:
@@ -159,7 +159,7 @@
                 # statement of such a transaction.
                 if reply.position:
                     self.group.watermarks.add(sent_at, reply.position)
-                self.group.doubt.answered()
+                self.group.suspicion.answered()
 
     def not_admitted(self, request_id: str, start: float) -> Reply:
         """Roll back because a statement was not admitted in time."""
@@ -213,11 +213,11 @@
         self.log_commit(session.database, request_id, start, reply)
         if reply.problem is None and self.wrote:
             session.record_position(reply.position)
-            self.group.doubt.commit_acknowledged()
+            self.group.suspicion.commit_acknowledged()
             if reply.position:
                 self.group.watermarks.add(sent_at, reply.position)
         elif reply.problem is Problem.NOT_PRIMARY:
-            self.group.disown(self.lane)
+            self.group.mark_not_primary(self.lane)
         return reply
 
     def log_commit(
@@ -301,7 +301,7 @@
 
 
 def release_after(
-    lane: ServerLane, link: ServerLink, future: asyncio.Future[Reply]
+    lane: ConnectionPool, link: ServerLink, future: asyncio.Future[Reply]
 ) -> None:
     """Return a connection to its pool after its last command is answered.
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -10,17 +10,17 @@
 from jackdawcrank.relay.claim_rows import ClaimRows
 from jackdawcrank.relay.directory import Directory
 from jackdawcrank.relay.graceful_shutdown import GracefulShutdown
-from jackdawcrank.relay.group_relay import Whereabouts
+from jackdawcrank.relay.group_relay import ProxyLocation
 from jackdawcrank.relay.home_router import HomeRouter
 from jackdawcrank.relay.home_server import HomeServer
 from jackdawcrank.relay.homes import Homes
 from jackdawcrank.relay.idle_transactions import IdleTransactions
-from jackdawcrank.relay.lane_care import LaneCare
 from jackdawcrank.relay.member_rows import (
     DISCOVERY_SECONDS,
     MEMBERS_TABLE,
     MemberRows,
 )
+from jackdawcrank.relay.pool_maintenance import PoolMaintenance
 from jackdawcrank.relay.relay_settings import RelaySettings
 from jackdawcrank.relay.statement_runner import StatementRunner
 from jackdawcrank.relay.store_health import StoreHealth
@@ -99,7 +99,7 @@
         self.directory = Directory(
             declaration_format,
             opener,
-            Whereabouts(settings.data_center, settings.regions),
+            ProxyLocation(settings.data_center, settings.regions),
             self.contact,
             self.homes,
             log,
@@ -175,7 +175,7 @@
             log,
             rng,
         )
-        self.lane_care = LaneCare(self.directory)
+        self.pool_maintenance = PoolMaintenance(self.directory)
         self.idle_transactions = IdleTransactions(self.directory, front, log)
         self.leaving = GracefulShutdown(
             front, self.home_server, settings.stop_grace_seconds, log
@@ -206,7 +206,7 @@
         await self.teller.start(self.timer)
         await self.contacts.start(self.timer)
         await self.front.start(self)
-        await self.lane_care.start(self.timer)
+        await self.pool_maintenance.start(self.timer)
         await self.idle_transactions.start(self.timer)
         await self.succession.start(self.timer)
 
