--- a/bench/slopes_parts/peer_streams.py
+++ b/bench/slopes_parts/peer_streams.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from jackdawcrank.peers import PeerHandlers, PeerLinks, PeerServer
+from jackdawcrank.peers import PeerHandlers, PeerServer, PeerStreamPool
 from jackdawcrank_policy.values import Position
 from jackdawcrank_wire.codec import Codec, JsonCodec, MsgpackCodec
 from jackdawcrank_wire.messages import (
@@ -57,28 +57,30 @@
     handlers = PeerHandlers()
     handlers.register(Execute, execute)
     handlers.register(ConfigVersion, ignore)
-    links = PeerLinks("home", "1", SECRET, handlers)
-    server = PeerServer("127.0.0.1", 0, SECRET, "home", "1", handlers, links)
+    peer_pool = PeerStreamPool("home", "1", SECRET, handlers)
+    server = PeerServer(
+        "127.0.0.1", 0, SECRET, "home", "1", handlers, peer_pool
+    )
     peers = Remote("remote_peers")
     await server.start()
     await peers.start()
-    slopes = await measure_streams(server, links, peers)
+    slopes = await measure_streams(server, peer_pool, peers)
     slopes += await measure_statements(peers)
     slopes += measure_codecs()
     await peers.close()
     await server.close()
-    await links.close()
+    await peer_pool.close()
     return slopes
 
 
 async def measure_streams(
-    server: PeerServer, links: PeerLinks, peers: Remote
+    server: PeerServer, peer_pool: PeerStreamPool, peers: Remote
 ) -> list[Slope]:
     """Return what open streams cost.
 
     Args:
       server: The measured end's port.
-      links: The measured end's streams.
+      peer_pool: The measured end's streams.
       peers: The other ends.
     """
     figures: dict[str, list[float]] = {}
@@ -90,7 +92,7 @@
         row = {"opened, processor time, s": spent}
         row["memory, bytes"] = float(memory_bytes())
         row |= await measure_idle()
-        row |= await measure_broadcast(links)
+        row |= await measure_broadcast(peer_pool)
         row |= await measure_held(peers)
         for quantity, value in row.items():
             figures.setdefault(quantity, []).append(value)
@@ -128,15 +130,15 @@
     }
 
 
-async def measure_broadcast(links: PeerLinks) -> dict[str, float]:
+async def measure_broadcast(peer_pool: PeerStreamPool) -> dict[str, float]:
     """Return what one notice to every open stream costs the sender.
 
     Args:
-      links: The streams.
+      peer_pool: The streams.
     """
     before = begin_usage()
     for version in range(CHANGES):
-        links.broadcast(ConfigVersion(version))
+        peer_pool.broadcast(ConfigVersion(version))
         await asyncio.sleep(NOTICE_PAUSE_SECONDS)
     after = end_usage()
     traffic = after.on() - before.on()
--- a/bench/slopes_parts/remote_peers.py
+++ b/bench/slopes_parts/remote_peers.py
@@ -4,7 +4,7 @@
 import time
 from typing import Any
 
-from jackdawcrank.peers import PeerHandlers, PeerLinks
+from jackdawcrank.peers import PeerHandlers, PeerStreamPool
 from jackdawcrank_wire.messages import (
     ConfigVersion,
     Execute,
@@ -27,20 +27,22 @@
     setup=("SET time_zone = 'UTC'",),
 )
 
-links: list[PeerLinks] = []
+peer_pools: list[PeerStreamPool] = []
 
 
 async def open_streams(request: dict[str, Any]) -> dict[str, Any]:
     """Open streams until there are as many as asked."""
     address = ("127.0.0.1", request["port"])
-    while len(links) < request["count"]:
+    while len(peer_pools) < request["count"]:
         handlers = PeerHandlers()
         handlers.register(ConfigVersion, ignore)
-        link = PeerLinks(f"vm-{len(links):04}", "1", SECRET, handlers)
-        link.set_addresses({"home": address})
-        await link.notify("home", ConfigVersion(0))
-        links.append(link)
-    return {"open": len(links)}
+        peer_pool = PeerStreamPool(
+            f"vm-{len(peer_pools):04}", "1", SECRET, handlers
+        )
+        peer_pool.set_addresses({"home": address})
+        await peer_pool.notify("home", ConfigVersion(0))
+        peer_pools.append(peer_pool)
+    return {"open": len(peer_pools)}
 
 
 async def ignore(vm: str, message: ConfigVersion) -> None:
@@ -58,7 +60,9 @@
 async def forward(count: int) -> None:
     """Forward statements one after the other."""
     for _ in range(count):
-        answer = await links[0].request("home", Execute(0, STATEMENT), 10.0)
+        answer = await peer_pools[0].request(
+            "home", Execute(0, STATEMENT), 10.0
+        )
         assert type(answer).__name__ == "Answer", answer
 
 
@@ -67,7 +71,8 @@
     statement = StatementRequest("soil", b"HOLD")
     execute = Execute(0, statement)
     waits = [
-        link.request("home", execute, request["seconds"]) for link in links
+        peer_pool.request("home", execute, request["seconds"])
+        for peer_pool in peer_pools
     ]
     await asyncio.gather(*waits)
     return {}
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/__init__.py
@@ -5,8 +5,8 @@
     PeerHandler,
     PeerHandlers,
 )
-from jackdawcrank.peers.peer_links import PeerLinks
 from jackdawcrank.peers.peer_server import PeerServer
+from jackdawcrank.peers.peer_stream_pool import PeerStreamPool
 from jackdawcrank.peers.peer_unreachable import PeerUnreachable
 from jackdawcrank.peers.request_types import Request, is_request
 from jackdawcrank.peers.streamed_answer import StreamedAnswer
@@ -16,7 +16,7 @@
     "PeerAnswer",
     "PeerHandler",
     "PeerHandlers",
-    "PeerLinks",
+    "PeerStreamPool",
     "PeerServer",
     "PeerUnreachable",
     "Request",
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_server.py
@@ -6,7 +6,7 @@
 
 from jackdawcrank.peers.handshake import HandshakeFailed
 from jackdawcrank.peers.peer_handlers import PeerHandlers
-from jackdawcrank.peers.peer_links import PeerLinks
+from jackdawcrank.peers.peer_stream_pool import PeerStreamPool
 
 MAX_HANDSHAKES = 128
 
@@ -22,7 +22,7 @@
         vm: str,
         boot: str,
         handlers: PeerHandlers,
-        links: PeerLinks | None = None,
+        peer_pool: PeerStreamPool | None = None,
     ) -> None:
         """Create the server; `start` opens the port.
 
@@ -33,13 +33,13 @@
           vm: This VM.
           boot: The id of this process.
           handlers: The handlers of the peers' messages.
-          links: Takes accepted streams over, so that one stream carries both
+          peer_pool: Takes accepted streams over, so that one stream carries both
             ends' requests; left out, accepted streams serve the peer only.
         """
         self.host = host
         self.port = port
-        self.links = links or PeerLinks(vm, boot, secret, handlers)
-        self.owns_links = links is None
+        self.peer_pool = peer_pool or PeerStreamPool(vm, boot, secret, handlers)
+        self.owns_peer_pool = peer_pool is None
         self.server: asyncio.Server | None = None
         self.handshakes: set[asyncio.Task[None]] = set()
         self.refused = 0
@@ -77,12 +77,12 @@
           reader: The connection's reader.
           writer: The connection's writer.
         """
-        connection = await self.links.connector.accept(reader, writer)
+        connection = await self.peer_pool.connector.accept(reader, writer)
         if isinstance(connection, HandshakeFailed):
             self.refused += 1
             logging.warning("peer connection refused: %s", connection.detail)
             return
-        await self.links.adopt(connection)
+        await self.peer_pool.adopt(connection)
 
     async def close(self) -> None:
         """Close the port and, if they are its own, the streams."""
@@ -91,7 +91,7 @@
         for task in list(self.handshakes):
             task.cancel()
         await asyncio.gather(*self.handshakes, return_exceptions=True)
-        if self.owns_links:
-            await self.links.close()
+        if self.owns_peer_pool:
+            await self.peer_pool.close()
         if self.server:
             await self.server.wait_closed()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_links.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream_pool.py
@@ -29,7 +29,7 @@
 LostCallback = collections.abc.Callable[[str, str], None]
 
 
-class PeerLinks:
+class PeerStreamPool:
     """Keeps at most one stream in use for each peer.
 
     A stream is dialed when it is first needed, or taken over when the peer
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
@@ -7,7 +7,7 @@
 
 from jackdawcrank.metrics import Metrics
 from jackdawcrank.metrics import names as metric_names
-from jackdawcrank.peers import PeerLinks, PeerUnreachable
+from jackdawcrank.peers import PeerStreamPool, PeerUnreachable
 from jackdawcrank.process.caller_classes import CallerClasses
 from jackdawcrank.process.home_registry import HomeRegistry
 from jackdawcrank.results import lost_transaction, result_error
@@ -56,7 +56,7 @@
 
     Attributes:
       registry: The homes on this VM.
-      links: The streams to other VMs.
+      peer_pool: The streams to other VMs.
       classes: The callers' classes.
       signer: Signs session tokens.
       metrics: Counts.
@@ -66,7 +66,7 @@
         self,
         vm: str,
         registry: HomeRegistry,
-        links: PeerLinks,
+        peer_pool: PeerStreamPool,
         classes: CallerClasses,
         signer: TokenSigner,
         metrics: Metrics,
@@ -74,7 +74,7 @@
     ) -> None:
         self.vm = vm
         self.registry = registry
-        self.links = links
+        self.peer_pool = peer_pool
         self.classes = classes
         self.signer = signer
         self.metrics = metrics
@@ -233,7 +233,9 @@
             return await self.serve_peer(request)
         self.metrics.count(metric_names.FORWARDED)
         timeout = request.deadline_ms / 1000 + ANSWER_MARGIN_SECONDS
-        answer = await self.links.request(home, Execute(0, request), timeout)
+        answer = await self.peer_pool.request(
+            home, Execute(0, request), timeout
+        )
         if isinstance(answer, Answer):
             return answer.result
         if isinstance(answer, PeerUnreachable):
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/group_peers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/group_peers.py
@@ -1,6 +1,6 @@
 """Asks other VMs on behalf of coordination."""
 
-from jackdawcrank.peers import PeerLinks
+from jackdawcrank.peers import PeerStreamPool
 from jackdawcrank_policy.detection import PrimaryEvidence, PrimaryHealth
 from jackdawcrank_policy.values import GroupRow
 from jackdawcrank_wire.messages import (
@@ -16,11 +16,11 @@
     """Carries coordination's questions over the streams between proxies.
 
     Attributes:
-      links: The streams.
+      peer_pool: The streams.
     """
 
-    def __init__(self, links: PeerLinks) -> None:
-        self.links = links
+    def __init__(self, peer_pool: PeerStreamPool) -> None:
+        self.peer_pool = peer_pool
 
     async def give_up_lease(
         self, vm: str, group: str, term: int, timeout_seconds: float
@@ -34,7 +34,7 @@
           timeout_seconds: The longest that this may take.
         """
         request = GiveUpLease(0, group, term)
-        answer = await self.links.request(vm, request, timeout_seconds)
+        answer = await self.peer_pool.request(vm, request, timeout_seconds)
         if not isinstance(answer, LeaseGivenUp):
             return False
         return answer.group == group and answer.term == term
@@ -50,7 +50,7 @@
           timeout_seconds: The longest that this may take.
         """
         request = AskEvidence(0, group)
-        answer = await self.links.request(vm, request, timeout_seconds)
+        answer = await self.peer_pool.request(vm, request, timeout_seconds)
         if not isinstance(answer, EvidenceAnswer):
             return None
         return evidence_from(vm, answer)
@@ -66,7 +66,7 @@
           version: The change log's version that wrote it.
           timeout_seconds: The longest that this may take.
         """
-        return await self.links.notify(
+        return await self.peer_pool.notify(
             vm, ConfigVersion(version), timeout_seconds
         )
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
@@ -7,7 +7,7 @@
     peer_records,
 )
 from jackdawcrank.membership import MembershipTracker
-from jackdawcrank.peers import PeerHandlers, PeerLinks
+from jackdawcrank.peers import PeerHandlers, PeerStreamPool
 from jackdawcrank.process.entry_router import EntryRouter
 from jackdawcrank.process.group_peers import answer_from
 from jackdawcrank.process.home_registry import HomeRegistry
@@ -37,7 +37,7 @@
       router: Runs forwarded statements.
       follower: The configuration in force.
       tracker: The membership.
-      links: The streams to other VMs.
+      peer_pool: The streams to other VMs.
     """
 
     def __init__(
@@ -46,13 +46,13 @@
         router: EntryRouter,
         follower: ConfigurationFollower,
         tracker: MembershipTracker,
-        links: PeerLinks,
+        peer_pool: PeerStreamPool,
     ) -> None:
         self.registry = registry
         self.router = router
         self.follower = follower
         self.tracker = tracker
-        self.links = links
+        self.peer_pool = peer_pool
 
     def register(self, handlers: PeerHandlers) -> None:
         """Set the handlers.
@@ -128,10 +128,12 @@
         Args:
           version: The version in force here.
         """
-        connected = self.links.connected() or sorted(self.links.addresses)
+        connected = self.peer_pool.connected() or sorted(
+            self.peer_pool.addresses
+        )
         learned: list[PeerUpdate] = []
         for vm in connected[:PEERS_ASKED]:
-            answer = await self.links.request(
+            answer = await self.peer_pool.request(
                 vm, ChangesRequest(0, version), LEARN_SECONDS
             )
             if isinstance(answer, ChangesAnswer):
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
@@ -15,7 +15,7 @@
 from jackdawcrank.metrics import Metrics
 from jackdawcrank.metrics import names as metric_names
 from jackdawcrank.operators.api import OperatorApi
-from jackdawcrank.peers import PeerHandlers, PeerLinks, PeerServer
+from jackdawcrank.peers import PeerHandlers, PeerServer, PeerStreamPool
 from jackdawcrank.process.caller_classes import CallerClasses
 from jackdawcrank.process.entry_router import EntryRouter
 from jackdawcrank.process.group_peers import StreamGroupPeers
@@ -76,7 +76,7 @@
         self.store = StoreClient(settings.platform_url, rng=self.rng)
         self.change_log = ChangeLog(self.store)
         self.handlers = PeerHandlers()
-        self.links = PeerLinks(
+        self.peer_pool = PeerStreamPool(
             settings.vm,
             self.boot,
             settings.peer_secret.encode(),
@@ -86,7 +86,7 @@
         self.registry = self._make_registry()
         self.classes = CallerClasses(time.monotonic)
         self.router = self._make_router()
-        self.links.is_watched = self._is_watched
+        self.peer_pool.is_watched = self._is_watched
         self.follower = self._make_follower()
         self.compactor = ChangeLogCompactor(
             self.store, self.follower.state, self.timer, self.rng
@@ -99,7 +99,7 @@
             settings.vm,
             self.boot,
             self.handlers,
-            self.links,
+            self.peer_pool,
         )
         self.api = self._make_api()
         self.tracker: MembershipTracker | None = None
@@ -116,10 +116,10 @@
         await self.timer.start()
         await self.peer_server.start()
         await self.api.start()
-        await self.links.start(self.timer)
+        await self.peer_pool.start(self.timer)
         self.tracker = self._make_tracker()
         self._make_peer_service(self.tracker)
-        self.links.lost_callbacks.append(self._peer_lost)
+        self.peer_pool.lost_callbacks.append(self._peer_lost)
         await self.follower.start()
         await self.compactor.start()
         await self.tracker.start()
@@ -152,7 +152,7 @@
         self.ready = False
         if self.tracker is not None:
             await self.tracker.leave()
-        self.links.broadcast(Leaving(self.settings.vm))
+        self.peer_pool.broadcast(Leaving(self.settings.vm))
         limit = self.settings.shutdown_timeout_seconds
         cut = await self.front.drain(limit)
         self.timeline.record(EventKind.CALLERS_CLOSED, cut=cut)
@@ -166,7 +166,7 @@
         await self.front.close()
         await self.follower.close()
         await self.compactor.close()
-        await self.links.close()
+        await self.peer_pool.close()
         await self.peer_server.close()
         await self.registry.close()
         if self.tracker is not None:
@@ -187,7 +187,7 @@
             settings.backend_user,
             settings.backend_password,
             QuickGroupRows(GroupRows(self.store, self.change_log, settings.vm)),
-            StreamGroupPeers(self.links),
+            StreamGroupPeers(self.peer_pool),
             self.timer,
             self.timeline,
             self.rng,
@@ -199,7 +199,7 @@
         return EntryRouter(
             self.settings.vm,
             self.registry,
-            self.links,
+            self.peer_pool,
             self.classes,
             TokenSigner(keys),
             self.metrics,
@@ -270,7 +270,7 @@
 
     def _make_peer_service(self, tracker: MembershipTracker) -> None:
         service = PeerService(
-            self.registry, self.router, self.follower, tracker, self.links
+            self.registry, self.router, self.follower, tracker, self.peer_pool
         )
         service.register(self.handlers)
         self.follower.read_from_peers = service.read_from_peers
@@ -289,8 +289,8 @@
     ) -> None:
         self.classes.set_specs(configuration.caller_classes)
         self.registry.configuration_changed(configuration, changes)
-        self.links.config_version = configuration.version
-        self.links.broadcast(
+        self.peer_pool.config_version = configuration.version
+        self.peer_pool.broadcast(
             ConfigVersion(configuration.version), PEERS_TOLD_OF_VERSION
         )
         self.timeline.record(
@@ -298,7 +298,7 @@
         )
 
     def _view_changed(self, view: MembershipView) -> None:
-        self.links.set_addresses(
+        self.peer_pool.set_addresses(
             {
                 name: (vm.host, vm.peer_port)
                 for name, vm in view.vms.items()
--- a/packages/jackdawcrank-proxy/tests/peers/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/peers/conftest.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from jackdawcrank.peers import PeerHandlers, PeerLinks, PeerServer
+from jackdawcrank.peers import PeerHandlers, PeerServer, PeerStreamPool
 from jackdawcrank_wire.codec import MsgpackCodec
 from jackdawcrank_wire.framing import FrameReader, FrameWriter, StreamEnd
 from jackdawcrank_wire.messages import (
@@ -126,11 +126,11 @@
         self.backend = Backend()
         self.handlers = PeerHandlers()
         self.handlers.register(Execute, self.backend)
-        self.links = PeerLinks(
+        self.peer_pool = PeerStreamPool(
             vm, boot, secret, self.handlers, rng=rng, nonce_source=rng.randbytes
         )
         self.server = PeerServer(
-            "127.0.0.1", 0, secret, vm, boot, self.handlers, self.links
+            "127.0.0.1", 0, secret, vm, boot, self.handlers, self.peer_pool
         )
 
     async def start(self) -> None:
@@ -140,11 +140,11 @@
         self, vm: str, sql: bytes, timeout: float = 2.0
     ) -> typing.Any:
         statement = StatementRequest("soil", sql)
-        return await self.links.request(vm, Execute(0, statement), timeout)
+        return await self.peer_pool.request(vm, Execute(0, statement), timeout)
 
     async def close(self) -> None:
         await self.server.close()
-        await self.links.close()
+        await self.peer_pool.close()
 
 
 class Pair:
@@ -161,7 +161,7 @@
         await self.b.start()
         self.relay.target = self.b.server.port
         await self.relay.start()
-        self.a.links.set_addresses({"vm-b": ("127.0.0.1", self.relay.port)})
+        self.a.peer_pool.set_addresses({"vm-b": ("127.0.0.1", self.relay.port)})
 
     async def add(self, vm: str, **options: typing.Any) -> Node:
         node = Node(vm, **options)
@@ -171,7 +171,7 @@
 
     async def close(self) -> None:
         for node in (self.a, self.b, *self.extra):
-            for stream in list(node.links.all_streams):
+            for stream in list(node.peer_pool.all_streams):
                 stream.lose("end of test")
             await node.close()
         await self.relay.close()
--- a/packages/jackdawcrank-proxy/tests/peers/test_golden_session.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_golden_session.py
@@ -113,13 +113,13 @@
 
 async def settle(pair: typing.Any) -> None:
     """Wait until everything that was sent has passed the relay."""
-    for links in (pair.a.links, pair.b.links):
-        for stream in links.streams.values():
+    for peer_pool in (pair.a.peer_pool, pair.b.peer_pool):
+        for stream in peer_pool.streams.values():
             await stream.check_idle()
 
 
 async def run_session(pair: typing.Any, recorder: Recorder) -> None:
-    a, b = pair.a.links, pair.b.links
+    a, b = pair.a.peer_pool, pair.b.peer_pool
     statements = {
         "read": b"SELECT plot",
         "write": b"INSERT",
@@ -149,7 +149,7 @@
     await asyncio.gather(task, return_exceptions=True)
     await settle(pair)
     recorder.end("caller gone")
-    await pair.b.links.close()
+    await pair.b.peer_pool.close()
     recorder.end("closing")
 
 
--- a/packages/jackdawcrank-proxy/tests/peers/test_peer_server.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_peer_server.py
@@ -96,7 +96,7 @@
 async def test_a_wrong_secret_reaches_no_handler(pair: typing.Any) -> None:
     stranger = await pair.add("vm-s", secret=b"another secret")
     address = ("127.0.0.1", pair.b.server.port)
-    stranger.links.set_addresses({"vm-b": address})
+    stranger.peer_pool.set_addresses({"vm-b": address})
     answer = await stranger.ask("vm-b", b"one")
     assert isinstance(answer, PeerUnreachable)
     assert not answer.sent
@@ -108,7 +108,9 @@
     pair: typing.Any,
 ) -> None:
     stranger = await pair.add("vm-s", secret=b"another secret")
-    pair.a.links.set_addresses({"vm-s": ("127.0.0.1", stranger.server.port)})
+    pair.a.peer_pool.set_addresses(
+        {"vm-s": ("127.0.0.1", stranger.server.port)}
+    )
     answer = await pair.a.ask("vm-s", b"one")
     assert isinstance(answer, PeerUnreachable)
     assert not answer.sent
@@ -166,7 +168,7 @@
     pair: typing.Any, eventually: typing.Any
 ) -> None:
     await check_served(pair)
-    stream = pair.a.links.streams["vm-b"]
+    stream = pair.a.peer_pool.streams["vm-b"]
     stream.post(Challenge(b"n" * 32))
     await eventually(lambda: stream.lost)
     await check_served(pair)
--- a/packages/jackdawcrank-proxy/tests/peers/test_peer_links.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_peer_stream_pool.py
@@ -71,7 +71,7 @@
     )
     hold = pair.b.backend.hold(b"slow")
     assert is_doubtful(await pair.a.ask("vm-b", b"slow", timeout=0.03))
-    stream = pair.a.links.streams["vm-b"]
+    stream = pair.a.peer_pool.streams["vm-b"]
     hold.set()
     await eventually(lambda: stream.pending.dropped == 1)
     assert info(await pair.a.ask("vm-b", b"next")) == "next"
@@ -123,13 +123,13 @@
 ) -> None:
     monkeypatch.setattr(stream_module, "TICK_SECONDS", 0.005)
     await pair.a.ask("vm-b", b"one")
-    stream = pair.a.links.streams["vm-b"]
+    stream = pair.a.peer_pool.streams["vm-b"]
     pair.relay.freeze()
     answer = await pair.a.ask("vm-b", b"two")
     assert is_doubtful(answer)
     assert answer.detail == "silent"
     assert info(await pair.a.ask("vm-b", b"three")) == "three"
-    assert pair.a.links.streams["vm-b"] is not stream
+    assert pair.a.peer_pool.streams["vm-b"] is not stream
 
 
 async def test_a_slow_handler_is_not_taken_for_silence(
@@ -161,8 +161,8 @@
 ) -> None:
     monkeypatch.setattr(stream_module, "TICK_SECONDS", 0.005)
     lost: list[str] = []
-    pair.b.links.lost_callbacks.append(lambda vm, _: lost.append(vm))
-    pair.b.links.is_watched = lambda vm: vm == "vm-a"
+    pair.b.peer_pool.lost_callbacks.append(lambda vm, _: lost.append(vm))
+    pair.b.peer_pool.is_watched = lambda vm: vm == "vm-a"
     await pair.a.ask("vm-b", b"one")
     pair.relay.freeze()
     await eventually(lambda: lost == ["vm-a"])
@@ -173,7 +173,7 @@
 ) -> None:
     pair.b.backend.hold(b"held")
     lost: list[str] = []
-    pair.a.links.lost_callbacks.append(lambda vm, _: lost.append(vm))
+    pair.a.peer_pool.lost_callbacks.append(lambda vm, _: lost.append(vm))
     task = asyncio.create_task(pair.a.ask("vm-b", b"held"))
     await eventually(lambda: pair.b.backend.seen == [b"held"])
     pair.relay.cut()
@@ -195,12 +195,12 @@
 
 
 async def test_a_new_address_is_dialed_at_once(pair: typing.Any) -> None:
-    pair.a.links.set_addresses({"vm-b": ("127.0.0.1", 1), "vm-x": ("", 1)})
+    pair.a.peer_pool.set_addresses({"vm-b": ("127.0.0.1", 1), "vm-x": ("", 1)})
     assert is_unsent(await pair.a.ask("vm-b", b"one"))
     assert is_unsent(await pair.a.ask("vm-x", b"one"))
     address = ("127.0.0.1", pair.b.server.port)
-    pair.a.links.set_addresses({"vm-b": address})
-    assert pair.a.links.backoffs == {}
+    pair.a.peer_pool.set_addresses({"vm-b": address})
+    assert pair.a.peer_pool.backoffs == {}
     assert info(await pair.a.ask("vm-b", b"two")) == "two"
 
 
@@ -208,7 +208,7 @@
     pair: typing.Any,
 ) -> None:
     other = await pair.add("vm-c")
-    pair.a.links.set_addresses({"vm-b": ("127.0.0.1", other.server.port)})
+    pair.a.peer_pool.set_addresses({"vm-b": ("127.0.0.1", other.server.port)})
     assert is_unsent(await pair.a.ask("vm-b", b"one"))
     assert other.backend.seen == []
 
@@ -221,7 +221,7 @@
     await eventually(lambda: pair.b.backend.seen == [b"held"])
     task.cancel()
     await eventually(lambda: pair.b.backend.cancelled == [b"held"])
-    await eventually(lambda: not len(pair.a.links.streams["vm-b"].pending))
+    await eventually(lambda: not len(pair.a.peer_pool.streams["vm-b"].pending))
 
 
 async def test_a_broken_handler_leaves_the_outcome_open(
@@ -236,7 +236,7 @@
 
 async def test_a_request_without_handler_is_refused(pair: typing.Any) -> None:
     question = AskEvidence(0, "soil")
-    assert is_unsent(await pair.a.links.request("vm-b", question, 1.0))
+    assert is_unsent(await pair.a.peer_pool.request("vm-b", question, 1.0))
 
 
 @pytest.mark.parametrize(
@@ -267,7 +267,7 @@
     task = asyncio.create_task(pair.a.ask("vm-b", b"held"))
     await eventually(lambda: pair.b.backend.seen == [b"held"])
     closing = asyncio.create_task(pair.b.close())
-    await eventually(lambda: pair.a.links.connected() == [])
+    await eventually(lambda: pair.a.peer_pool.connected() == [])
     late = asyncio.create_task(pair.a.ask("vm-b", b"late", timeout=0.05))
     hold.set()
     assert info(await task) == "held"
@@ -280,7 +280,7 @@
     pair: typing.Any,
 ) -> None:
     await pair.a.ask("vm-b", b"one")
-    stream = pair.b.links.streams["vm-a"]
+    stream = pair.b.peer_pool.streams["vm-a"]
     closing = asyncio.create_task(stream.close())
     answer = await pair.a.ask("vm-b", b"two")
     assert info(answer) == "two"
@@ -293,15 +293,15 @@
     pair: typing.Any, eventually: typing.Any
 ) -> None:
     await pair.a.ask("vm-b", b"one")
-    stream = pair.a.links.streams["vm-b"]
+    stream = pair.a.peer_pool.streams["vm-b"]
     lost: list[str] = []
     for node in (pair.a, pair.b):
-        node.links.lost_callbacks.append(lambda vm, _: lost.append(vm))
-    await pair.a.links.close_idle(0.0)
+        node.peer_pool.lost_callbacks.append(lambda vm, _: lost.append(vm))
+    await pair.a.peer_pool.close_idle(0.0)
     assert stream.usable
     stream.used_at -= 100.0
-    await pair.a.links.close_idle(0.0)
-    await eventually(lambda: stream.lost and not pair.b.links.streams)
+    await pair.a.peer_pool.close_idle(0.0)
+    await eventually(lambda: stream.lost and not pair.b.peer_pool.streams)
     assert lost == []
     assert info(await pair.a.ask("vm-b", b"two")) == "two"
 
@@ -309,12 +309,12 @@
 async def test_two_ends_that_dial_at_once_agree_on_one_stream(
     pair: typing.Any,
 ) -> None:
-    pair.b.links.set_addresses({"vm-a": ("127.0.0.1", pair.a.server.port)})
+    pair.b.peer_pool.set_addresses({"vm-a": ("127.0.0.1", pair.a.server.port)})
     await asyncio.gather(pair.a.ask("vm-b", b"one"), pair.b.ask("vm-a", b"two"))
     await pair.a.ask("vm-b", b"three")
     dialers = {
-        pair.a.links.streams["vm-b"].connection.dialer,
-        pair.b.links.streams["vm-a"].connection.dialer,
+        pair.a.peer_pool.streams["vm-b"].connection.dialer,
+        pair.b.peer_pool.streams["vm-a"].connection.dialer,
     }
     assert dialers == {"vm-a"}
 
@@ -323,13 +323,13 @@
 async def test_the_stream_of_the_lower_name_is_preferred(
     pair: typing.Any, first: str
 ) -> None:
-    pair.b.links.set_addresses({"vm-a": ("127.0.0.1", pair.a.server.port)})
+    pair.b.peer_pool.set_addresses({"vm-a": ("127.0.0.1", pair.a.server.port)})
     ends = {"vm-a": pair.a, "vm-b": pair.b}
     dialer, other = ends.pop(first), *ends.values()
     await dialer.ask(other.vm, b"one")
-    del other.links.streams[dialer.vm]
+    del other.peer_pool.streams[dialer.vm]
     await other.ask(dialer.vm, b"two")
-    assert pair.a.links.streams["vm-b"].connection.dialer == "vm-a"
+    assert pair.a.peer_pool.streams["vm-b"].connection.dialer == "vm-a"
 
 
 async def test_a_restarted_peer_replaces_its_old_stream(
@@ -337,7 +337,7 @@
 ) -> None:
     await pair.a.ask("vm-b", b"one")
     again = await pair.add("vm-b", boot="2")
-    again.links.set_addresses({"vm-a": ("127.0.0.1", pair.a.server.port)})
+    again.peer_pool.set_addresses({"vm-a": ("127.0.0.1", pair.a.server.port)})
     await again.ask("vm-a", b"hello")
     assert info(await pair.a.ask("vm-b", b"two")) == "two"
     assert again.backend.seen == [b"two"]
@@ -352,10 +352,10 @@
         seen.append((vm, message.version))
 
     pair.b.handlers.register(ConfigVersion, on_version)
-    assert await pair.a.links.notify("vm-b", ConfigVersion(7))
-    pair.a.links.broadcast(ConfigVersion(8))
+    assert await pair.a.peer_pool.notify("vm-b", ConfigVersion(7))
+    pair.a.peer_pool.broadcast(ConfigVersion(8))
     await eventually(lambda: seen == [("vm-a", 7), ("vm-a", 8)])
-    assert not await pair.a.links.notify("vm-x", ConfigVersion(9))
+    assert not await pair.a.peer_pool.notify("vm-x", ConfigVersion(9))
 
 
 async def test_a_broadcast_may_be_limited(
@@ -364,7 +364,7 @@
     seen: list[str] = []
     nodes = [await pair.add(f"vm-{number}") for number in range(4)]
     addresses = {node.vm: ("127.0.0.1", node.server.port) for node in nodes}
-    pair.a.links.set_addresses(addresses)
+    pair.a.peer_pool.set_addresses(addresses)
 
     for node in nodes:
         await pair.a.ask(node.vm, b"one")
@@ -375,9 +375,9 @@
             seen.append(name)
 
         node.handlers.register(ConfigVersion, on_version)
-    pair.a.links.broadcast(ConfigVersion(1), limit=2)
+    pair.a.peer_pool.broadcast(ConfigVersion(1), limit=2)
     await eventually(lambda: len(seen) == 2)
-    pair.a.links.broadcast(ConfigVersion(2), limit=9)
+    pair.a.peer_pool.broadcast(ConfigVersion(2), limit=9)
     await eventually(lambda: len(seen) == 6)
     assert set(seen) == set(addresses)
 
@@ -396,7 +396,9 @@
         0, ResultRows(COLUMNS, (ROW,) * 500)
     )
     statement = StatementRequest("soil", b"big")
-    answer = await pair.a.links.open_answer("vm-b", Execute(0, statement), 10.0)
+    answer = await pair.a.peer_pool.open_answer(
+        "vm-b", Execute(0, statement), 10.0
+    )
     assert isinstance(answer, StreamedAnswer)
     return answer
 
@@ -425,7 +427,7 @@
 ) -> None:
     big = await open_big(pair)
     big.close()
-    await eventually(lambda: not len(pair.b.links.streams["vm-a"].incoming))
+    await eventually(lambda: not len(pair.b.peer_pool.streams["vm-a"].incoming))
 
 
 async def test_a_result_cut_off_midway_is_not_taken_for_whole(
--- a/packages/jackdawcrank-proxy/tests/process/test_entry_router.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_entry_router.py
@@ -39,7 +39,7 @@
 
 
 @attrs.define
-class FakeLinks:
+class FakePeerPool:
     """Answers as each home is set to; keeps what was sent where."""
 
     answers: dict[str, StatementResult | PeerUnreachable]
@@ -55,23 +55,23 @@
 
 def router_with(
     answers: dict[str, StatementResult | PeerUnreachable],
-) -> tuple[EntryRouter, FakeLinks]:
+) -> tuple[EntryRouter, FakePeerPool]:
     row = GroupRow(GROUP, 1, GroupPhase.ACTIVE, "s1", "vm1", (*HOMES, ""))
     configuration = Configuration(
         version=1, groups={GROUP: GroupSpec(GROUP)}, group_rows={GROUP: row}
     )
-    links = FakeLinks(answers)
+    peer_pool = FakePeerPool(answers)
     router = EntryRouter(
         "vm9",
         FakeRegistry(configuration),  # type: ignore[arg-type]
-        links,  # type: ignore[arg-type]
+        peer_pool,  # type: ignore[arg-type]
         CallerClasses(lambda: 0.0),
         TokenSigner((b"k" * 16,)),
         Metrics(),
         lambda: 0.0,
     )
     router.retries.balance = 10.0
-    return router, links
+    return router, peer_pool
 
 
 def refused(reason: str) -> ResultError:
@@ -89,9 +89,9 @@
 
 
 async def test_one_home_runs_a_statement() -> None:
-    router, links = router_with(ALL_OK)
+    router, peer_pool = router_with(ALL_OK)
     assert await router.execute(request()) == ResultOk(affected_rows=1)
-    assert len(links.sent) == 1
+    assert len(peer_pool.sent) == 1
 
 
 @pytest.mark.parametrize(
@@ -103,37 +103,37 @@
     ],
 )
 async def test_another_home_is_tried_where_nothing_ran(answer: Any) -> None:
-    router, links = router_with(dict(ALL_OK))
+    router, peer_pool = router_with(dict(ALL_OK))
     first = router._homes(request())[0]
-    links.answers[first] = answer
+    peer_pool.answers[first] = answer
     result = await router.execute(request(repeatable=False))
     assert result == ResultOk(affected_rows=1)
-    assert [vm for vm, _ in links.sent][0] == first
+    assert [vm for vm, _ in peer_pool.sent][0] == first
 
 
 @pytest.mark.parametrize("reason", ["overloaded", "write_lost", "limited"])
 async def test_other_refusals_go_to_the_caller(reason: str) -> None:
-    router, links = router_with(dict.fromkeys(HOMES, refused(reason)))
+    router, peer_pool = router_with(dict.fromkeys(HOMES, refused(reason)))
     result = await router.execute(request())
     assert isinstance(result, ResultError) and result.reason == reason
-    assert len(links.sent) == 1
+    assert len(peer_pool.sent) == 1
 
 
 async def test_write_that_may_have_run_is_unknown_and_not_repeated() -> None:
-    router, links = router_with(SENT)
+    router, peer_pool = router_with(SENT)
     result = await router.execute(request())
     assert isinstance(result, ResultError)
     assert result.outcome is StatementOutcome.UNKNOWN
-    assert len(links.sent) == 1
+    assert len(peer_pool.sent) == 1
 
 
 async def test_request_id_allows_a_second_try_unless_forbidden() -> None:
-    router, links = router_with(SENT)
+    router, peer_pool = router_with(SENT)
     await router.execute(request(request_id="r1"))
-    assert len(links.sent) > 1
-    router, links = router_with(SENT)
+    assert len(peer_pool.sent) > 1
+    router, peer_pool = router_with(SENT)
     await router.execute(request(request_id="r1", repeatable=False))
-    assert len(links.sent) == 1
+    assert len(peer_pool.sent) == 1
 
 
 async def test_no_home_in_reach_is_not_run() -> None:
@@ -146,19 +146,19 @@
 
 async def test_transaction_stays_with_its_home() -> None:
     open_result = ResultOk(in_transaction=True)
-    router, links = router_with(dict.fromkeys(HOMES, open_result))
+    router, peer_pool = router_with(dict.fromkeys(HOMES, open_result))
     for _ in range(3):
         await router.execute(request(transaction_id="t1"))
-    assert len({vm for vm, _ in links.sent}) == 1
+    assert len({vm for vm, _ in peer_pool.sent}) == 1
     for home in HOMES:
-        links.answers[home] = ResultOk()
+        peer_pool.answers[home] = ResultOk()
     commit = request(transaction_id="t1", kind=StatementKind.COMMIT)
     await router.execute(commit)
     assert router.pinned == {}
 
 
 async def test_lost_commit_is_unknown_and_lost_statement_rolled_back() -> None:
-    router, links = router_with(SENT)
+    router, peer_pool = router_with(SENT)
     lost = await router.execute(request(transaction_id="t1"))
     assert isinstance(lost, ResultError)
     assert lost.outcome is StatementOutcome.FAILED
--- a/packages/jackdawcrank-proxy/tests/process/test_proxy.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_proxy.py
@@ -42,7 +42,7 @@
 
 async def test_a_new_version_is_told_to_a_few_peers(proxy: Proxy) -> None:
     streams: dict[str, Any] = {f"vm{n}": Stream() for n in range(1, 50)}
-    proxy.links.streams.update(streams)
+    proxy.peer_pool.streams.update(streams)
     proxy._configuration_changed(Configuration(4), ())
     told = [one.posted for one in streams.values() if one.posted]
     assert told == [[ConfigVersion(4)]] * PEERS_TOLD_OF_VERSION
@@ -51,7 +51,7 @@
 async def test_peers_are_watched_while_transactions_tie_them(
     proxy: Proxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    watched = proxy.links.watched
+    watched = proxy.peer_pool.watched
     assert not watched("vm1")
     proxy.router.pinned["t1"] = "vm1"
     assert watched("vm1")
