--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/backoff.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/backoff.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-FIRST_PAUSE_SECONDS = 0.1
-MAX_PAUSE_SECONDS = 3.0
+INITIAL_DELAY_SECONDS = 0.1
+MAX_DELAY_SECONDS = 3.0
 
 
 @attrs.define
@@ -30,18 +30,18 @@
         """
         return now >= self.next_attempt_at
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Note a failed attempt.
 
         Args:
           now: Seconds on a monotonic clock.
         """
         exponent = min(self.failures, 10)
-        pause = min(MAX_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * 2**exponent)
+        delay = min(MAX_DELAY_SECONDS, INITIAL_DELAY_SECONDS * 2**exponent)
         self.failures += 1
-        self.next_attempt_at = now + pause * self.rng.uniform(0.5, 1.0)
+        self.next_attempt_at = now + delay * self.rng.uniform(0.5, 1.0)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note a successful attempt."""
         self.failures = 0
         self.next_attempt_at = 0.0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/chunk_sender.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/chunk_sender.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from jackdawcrank.peers.outbox import Outbox
+from jackdawcrank.peers.message_writer import MessageWriter
 from jackdawcrank.peers.pending_request import WINDOW_CHUNKS
 from jackdawcrank.peers.split_rows import split_rows
 from jackdawcrank.peers.streamed_result import StreamedResult
@@ -22,9 +22,9 @@
 class ChunkSender:
     """Sends a result in parts, no faster than its receiver reads them."""
 
-    def __init__(self, number: int, outbox: Outbox) -> None:
+    def __init__(self, number: int, message_writer: MessageWriter) -> None:
         self.number = number
-        self.outbox = outbox
+        self.message_writer = message_writer
         self.row_count = 0
         self.credit = asyncio.Semaphore(WINDOW_CHUNKS)
 
@@ -50,7 +50,7 @@
         assert isinstance(result, ResultRows)
         parts = split_rows(result.rows)
         head = attrs.evolve(result, rows=next(parts, ()), complete=False)
-        if not await self.outbox.send(Answer(self.number, head)):
+        if not await self.message_writer.send(Answer(self.number, head)):
             return False
         self.row_count = len(head.rows)
         if not await self.send_parts(parts):
@@ -73,7 +73,7 @@
         """
         for part in parts:
             await self.credit.acquire()
-            if not await self.outbox.send(RowsChunk(self.number, part)):
+            if not await self.message_writer.send(RowsChunk(self.number, part)):
                 return False
             self.row_count += len(part)
         return True
@@ -88,4 +88,4 @@
           False if it could not be sent.
         """
         end = AnswerEnd(self.number, self.row_count, error)
-        return await self.outbox.send(end)
+        return await self.message_writer.send(end)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/connector.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/connector.py
@@ -5,21 +5,21 @@
 import contextlib
 
 from jackdawcrank.peers.handshake import (
+    AuthenticatedPeer,
     Handshake,
     HandshakeFailed,
     NonceSource,
-    ProvenPeer,
 )
 from jackdawcrank.peers.peer_connection import PeerConnection
 from jackdawcrank.peers.peer_identity import PeerIdentity
 from jackdawcrank_wire.codec import Codec
 from jackdawcrank_wire.framing import FrameReader, FrameWriter
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 
-Prove = collections.abc.Callable[
+RunHandshake = collections.abc.Callable[
     [Handshake],
-    collections.abc.Coroutine[None, None, ProvenPeer | HandshakeFailed],
+    collections.abc.Coroutine[None, None, AuthenticatedPeer | HandshakeFailed],
 ]
 
 
@@ -44,11 +44,13 @@
           port: Its peer port.
         """
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 streams = await asyncio.open_connection(host, port)
         except (TimeoutError, OSError) as error:
             return HandshakeFailed(f"no connection: {type(error).__name__}")
-        return await self.prove(*streams, lambda shake: shake.dial(vm), True)
+        return await self.authenticate(
+            *streams, lambda handshake: handshake.dial(vm), True
+        )
 
     async def accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -59,15 +61,15 @@
           reader: The connection's reader.
           writer: The connection's writer.
         """
-        return await self.prove(
-            reader, writer, lambda shake: shake.accept(), False
+        return await self.authenticate(
+            reader, writer, lambda handshake: handshake.accept(), False
         )
 
-    async def prove(
+    async def authenticate(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        run: Prove,
+        run: RunHandshake,
         dialed: bool,
     ) -> PeerConnection | HandshakeFailed:
         """Run the handshake; the connection is closed if it fails.
@@ -80,17 +82,17 @@
         """
         frame_reader = FrameReader(reader)
         frame_writer = FrameWriter(writer)
-        shake = Handshake(
+        handshake = Handshake(
             self.identity,
             frame_reader,
             frame_writer,
             self.codec,
             self.nonce_source,
         )
-        peer: ProvenPeer | HandshakeFailed = HandshakeFailed("cancelled")
+        peer: AuthenticatedPeer | HandshakeFailed = HandshakeFailed("cancelled")
         with contextlib.ExitStack() as stack:
             stack.callback(frame_writer.abort)
-            peer = await run(shake)
+            peer = await run(handshake)
             if isinstance(peer, HandshakeFailed):
                 return peer
             stack.pop_all()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/handshake.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/handshake.py
@@ -11,8 +11,8 @@
 from jackdawcrank_wire.framing import FrameReader, FrameWriter, StreamEnd
 from jackdawcrank_wire.messages import Challenge, Message, Proof
 
-HANDSHAKE_SECONDS = 2.0
-HANDSHAKE_FRAME_BYTES = 1024
+HANDSHAKE_TIMEOUT_SECONDS = 2.0
+MAX_HANDSHAKE_FRAME_BYTES = 1024
 NONCE_BYTES = 32
 
 NonceSource = collections.abc.Callable[[int], bytes]
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ProvenPeer:
+class AuthenticatedPeer:
     """The other end of a connection, proven to know the secret.
 
     Attributes:
@@ -63,11 +63,13 @@
         self.codec = codec
         self.nonce = nonce_source(NONCE_BYTES)
 
-    async def accept(self) -> ProvenPeer | HandshakeFailed:
+    async def accept(self) -> AuthenticatedPeer | HandshakeFailed:
         """Challenge the dialing end and prove this end to it."""
         return await self.within_deadline(self.run_acceptor())
 
-    async def dial(self, expected_vm: str) -> ProvenPeer | HandshakeFailed:
+    async def dial(
+        self, expected_vm: str
+    ) -> AuthenticatedPeer | HandshakeFailed:
         """Answer the accepting end's challenge and check its proof.
 
         Args:
@@ -79,25 +81,25 @@
     async def within_deadline(
         self,
         exchange: collections.abc.Coroutine[
-            None, None, ProvenPeer | HandshakeFailed
+            None, None, AuthenticatedPeer | HandshakeFailed
         ],
-    ) -> ProvenPeer | HandshakeFailed:
+    ) -> AuthenticatedPeer | HandshakeFailed:
         """Return the result of an exchange, or a failure after the deadline.
 
         Args:
           exchange: The exchange.
         """
         frame_bytes = self.reader.max_frame_bytes
-        self.reader.max_frame_bytes = HANDSHAKE_FRAME_BYTES
+        self.reader.max_frame_bytes = MAX_HANDSHAKE_FRAME_BYTES
         try:
-            async with asyncio.timeout(HANDSHAKE_SECONDS):
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_SECONDS):
                 return await exchange
         except TimeoutError:
             return HandshakeFailed("the handshake took too long")
         finally:
             self.reader.max_frame_bytes = frame_bytes
 
-    async def run_acceptor(self) -> ProvenPeer | HandshakeFailed:
+    async def run_acceptor(self) -> AuthenticatedPeer | HandshakeFailed:
         """Run the accepting end's side."""
         self.send(Challenge(self.nonce))
         proof = await self.receive()
@@ -117,11 +119,11 @@
             proof.vm,
         )
         self.send(Proof(self.identity.vm, self.identity.boot, b"", digest))
-        return ProvenPeer(proof.vm, proof.boot)
+        return AuthenticatedPeer(proof.vm, proof.boot)
 
     async def run_dialer(
         self, expected_vm: str
-    ) -> ProvenPeer | HandshakeFailed:
+    ) -> AuthenticatedPeer | HandshakeFailed:
         """Run the dialing end's side.
 
         Args:
@@ -151,7 +153,7 @@
             proof, ProofRole.ACCEPTOR, challenge.nonce, self.nonce
         ):
             return HandshakeFailed("the proof is wrong")
-        return ProvenPeer(proof.vm, proof.boot)
+        return AuthenticatedPeer(proof.vm, proof.boot)
 
     def is_valid(
         self,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/incoming_requests.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/incoming_requests.py
@@ -8,7 +8,7 @@
 from absl import logging
 
 from jackdawcrank.peers.chunk_sender import ChunkSender
-from jackdawcrank.peers.outbox import Outbox
+from jackdawcrank.peers.message_writer import MessageWriter
 from jackdawcrank.peers.peer_handlers import (
     PeerAnswer,
     PeerHandler,
@@ -35,22 +35,24 @@
 class IncomingRequests:
     """Runs the handlers of one stream's messages, each in a task."""
 
-    def __init__(self, vm: str, handlers: PeerHandlers, outbox: Outbox) -> None:
+    def __init__(
+        self, vm: str, handlers: PeerHandlers, message_writer: MessageWriter
+    ) -> None:
         self.vm = vm
         self.handlers = handlers
-        self.outbox = outbox
+        self.message_writer = message_writer
         self.last_number = 0
         self.closing = False
         self.by_number: dict[int, asyncio.Task[None]] = {}
         self.senders: dict[int, ChunkSender] = {}
-        self.notices: set[asyncio.Task[PeerAnswer]] = set()
+        self.notifications: set[asyncio.Task[PeerAnswer]] = set()
         self.idle = asyncio.Event()
         self.idle.set()
 
     def __len__(self) -> int:
         return len(self.by_number)
 
-    def begin(self, message: Message) -> None:
+    def start_handler(self, message: Message) -> None:
         """Start the handler of a message.
 
         Args:
@@ -58,11 +60,13 @@
         """
         handler = self.handlers.find(type(message))
         if is_request(message):
-            self.begin_request(message, handler)
+            self.start_request(message, handler)
         elif handler is not None:
-            self.begin_notice(message, handler)
+            self.start_notification(message, handler)
 
-    def begin_notice(self, message: Message, handler: PeerHandler) -> None:
+    def start_notification(
+        self, message: Message, handler: PeerHandler
+    ) -> None:
         """Start the handler of a message that has no answer.
 
         Such messages are hints; beyond the bound they are dropped.
@@ -71,23 +75,23 @@
           message: The message.
           handler: Its handler.
         """
-        if len(self.notices) >= MAX_INCOMING:
+        if len(self.notifications) >= MAX_INCOMING:
             return
         task = asyncio.ensure_future(handler(self.vm, message))
-        self.notices.add(task)
-        task.add_done_callback(self.end_notice)
+        self.notifications.add(task)
+        task.add_done_callback(self.finish_notification)
 
-    def end_notice(self, task: asyncio.Task[PeerAnswer]) -> None:
+    def finish_notification(self, task: asyncio.Task[PeerAnswer]) -> None:
         """Forget a handler and log what it raised.
 
         Args:
           task: The handler's task.
         """
-        self.notices.discard(task)
+        self.notifications.discard(task)
         if not task.cancelled() and (error := task.exception()):
             logging.error("peer handler failed", exc_info=error)
 
-    def begin_request(
+    def start_request(
         self, request: Request, handler: PeerHandler | None
     ) -> None:
         """Start the handler of a request, or refuse it.
@@ -110,9 +114,9 @@
             self.refuse(request, RefusalReason.OVERLOADED)
         else:
             self.idle.clear()
-            task = asyncio.ensure_future(self.run(request, handler))
+            task = asyncio.ensure_future(self.run_handler(request, handler))
             self.by_number[number] = task
-            task.add_done_callback(lambda _: self.end(number))
+            task.add_done_callback(lambda _: self.finish_request(number))
 
     def refuse(self, request: Request, reason: RefusalReason) -> None:
         """Say that no handler sees a request.
@@ -122,9 +126,11 @@
           reason: Why.
         """
         number = MESSAGE_NUMBERS[type(request)]
-        self.outbox.post(Refused(request.request_number, reason, number))
+        self.message_writer.post(
+            Refused(request.request_number, reason, number)
+        )
 
-    async def run(self, request: Request, handler: PeerHandler) -> None:
+    async def run_handler(self, request: Request, handler: PeerHandler) -> None:
         """Run a handler and send its answer.
 
         Args:
@@ -137,9 +143,11 @@
             await self.send_answer(number, answer)
         except Exception:
             logging.exception("peer handler failed")
-            self.outbox.post(RequestFailed(number, "the handler failed"))
+            self.message_writer.post(
+                RequestFailed(number, "the handler failed")
+            )
 
-    def end(self, number: int) -> None:
+    def finish_request(self, number: int) -> None:
         """Forget a request that was answered or cancelled.
 
         Args:
@@ -164,7 +172,9 @@
         elif isinstance(answer, RequestAnswer):
             await self.send_whole(attrs.evolve(answer, request_number=number))
         else:
-            self.outbox.post(RequestFailed(number, "the handler has no answer"))
+            self.message_writer.post(
+                RequestFailed(number, "the handler has no answer")
+            )
 
     async def send_whole(self, answer: RequestAnswer) -> None:
         """Send an answer in one piece.
@@ -172,8 +182,10 @@
         Args:
           answer: The answer.
         """
-        if not await self.outbox.send(answer):
-            self.outbox.post(RequestFailed(answer.request_number, TOO_LARGE))
+        if not await self.message_writer.send(answer):
+            self.message_writer.post(
+                RequestFailed(answer.request_number, TOO_LARGE)
+            )
 
     async def send_parts(self, number: int, answer: StreamedResult) -> None:
         """Send an answer in parts.
@@ -182,10 +194,10 @@
           number: The request's number.
           answer: The answer.
         """
-        sender = ChunkSender(number, self.outbox)
+        sender = ChunkSender(number, self.message_writer)
         self.senders[number] = sender
         if not await sender.send(answer):
-            self.outbox.post(RequestFailed(number, TOO_LARGE))
+            self.message_writer.post(RequestFailed(number, TOO_LARGE))
 
     def add_credit(self, number: int, chunks: int) -> None:
         """Allow more parts of an answer to be sent.
@@ -208,7 +220,7 @@
 
     async def close(self) -> None:
         """Cancel every handler and wait until they have ended."""
-        tasks = [*self.by_number.values(), *self.notices]
+        tasks = [*self.by_number.values(), *self.notifications]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/liveness.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/liveness.py
@@ -2,11 +2,11 @@
 
 import enum
 
-TICK_SECONDS = 0.25
+TICK_INTERVAL_SECONDS = 0.25
 PING_AFTER_TICKS = 2
-DEAD_AFTER_TICKS = 7
-IDLE_CHECK_AFTER_SECONDS = 5.0
-IDLE_CHECK_SECONDS = 0.5
+TIMEOUT_TICKS = 7
+IDLE_PROBE_AFTER_SECONDS = 5.0
+IDLE_PROBE_TIMEOUT_SECONDS = 0.5
 
 
 class LivenessAction(enum.Enum):
@@ -14,7 +14,7 @@
 
     NONE = enum.auto()
     PING = enum.auto()
-    GIVE_UP = enum.auto()
+    DISCONNECT = enum.auto()
 
 
 class Liveness:
@@ -27,15 +27,15 @@
     def __init__(self) -> None:
         self.silent_ticks = 0
 
-    def heard(self) -> None:
+    def record_frame(self) -> None:
         """Note that a frame came in."""
         self.silent_ticks = 0
 
     def tick(self) -> LivenessAction:
-        """Return what to do, `TICK_SECONDS` after the last call."""
+        """Return what to do, `TICK_INTERVAL_SECONDS` after the last call."""
         self.silent_ticks += 1
-        if self.silent_ticks >= DEAD_AFTER_TICKS:
-            return LivenessAction.GIVE_UP
+        if self.silent_ticks >= TIMEOUT_TICKS:
+            return LivenessAction.DISCONNECT
         if self.silent_ticks >= PING_AFTER_TICKS:
             return LivenessAction.PING
         return LivenessAction.NONE
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/outbox.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/message_writer.py
@@ -5,7 +5,7 @@
 from jackdawcrank_wire.messages import Message
 
 
-class Outbox:
+class MessageWriter:
     """Encodes messages and hands them to a connection."""
 
     def __init__(self, writer: FrameWriter, codec: Codec) -> None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_connection.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_connection.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from jackdawcrank.peers.handshake import ProvenPeer
+from jackdawcrank.peers.handshake import AuthenticatedPeer
 from jackdawcrank_wire.codec import Codec
 from jackdawcrank_wire.framing import FrameReader, FrameWriter
 
@@ -21,7 +21,7 @@
     """
 
     local_vm: str
-    peer: ProvenPeer
+    peer: AuthenticatedPeer
     reader: FrameReader
     writer: FrameWriter
     codec: Codec
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_server.py
@@ -64,11 +64,11 @@
             self.refused += 1
             writer.transport.abort()
             return
-        task = asyncio.create_task(self.admit(reader, writer))
+        task = asyncio.create_task(self.handle_connection(reader, writer))
         self.handshakes.add(task)
         task.add_done_callback(self.handshakes.discard)
 
-    async def admit(
+    async def handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Run a connection's stream if its other end proves itself.
@@ -82,7 +82,7 @@
             self.refused += 1
             logging.warning("peer connection refused: %s", connection.detail)
             return
-        await self.peer_pool.adopt(connection)
+        await self.peer_pool.add_connection(connection)
 
     async def close(self) -> None:
         """Close the port and, if they are its own, the streams."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream.py
@@ -7,13 +7,13 @@
 
 from jackdawcrank.peers.incoming_requests import IncomingRequests
 from jackdawcrank.peers.liveness import (
-    IDLE_CHECK_AFTER_SECONDS,
-    IDLE_CHECK_SECONDS,
-    TICK_SECONDS,
+    IDLE_PROBE_AFTER_SECONDS,
+    IDLE_PROBE_TIMEOUT_SECONDS,
+    TICK_INTERVAL_SECONDS,
     Liveness,
     LivenessAction,
 )
-from jackdawcrank.peers.outbox import Outbox
+from jackdawcrank.peers.message_writer import MessageWriter
 from jackdawcrank.peers.peer_connection import PeerConnection
 from jackdawcrank.peers.peer_handlers import PeerHandlers
 from jackdawcrank.peers.peer_unreachable import PeerUnreachable
@@ -33,10 +33,10 @@
 )
 
 MAX_PENDING = 1024
-CLOSE_SECONDS = 5.0
+CLOSE_TIMEOUT_SECONDS = 5.0
 
 PeerReply = Message | StreamedAnswer | PeerUnreachable
-IsWatched = collections.abc.Callable[[str], bool]
+IsMonitored = collections.abc.Callable[[str], bool]
 OnLost = collections.abc.Callable[["PeerStream", str], None]
 
 
@@ -57,33 +57,33 @@
         connection: PeerConnection,
         handlers: PeerHandlers,
         on_lost: OnLost,
-        is_watched: IsWatched = lambda vm: False,
+        is_monitored: IsMonitored = lambda vm: False,
     ) -> None:
         self.connection = connection
         self.vm = connection.peer.vm
         self.on_lost = on_lost
-        self.is_watched = is_watched
+        self.is_monitored = is_monitored
         self.loop = asyncio.get_running_loop()
-        self.outbox = Outbox(connection.writer, connection.codec)
+        self.message_writer = MessageWriter(connection.writer, connection.codec)
         self.pending = PendingRequests(self.vm)
-        self.incoming = IncomingRequests(self.vm, handlers, self.outbox)
+        self.incoming = IncomingRequests(self.vm, handlers, self.message_writer)
         self.liveness = Liveness()
-        self.heard_at = self.loop.time()
-        self.used_at = self.heard_at
-        self.pongs: list[asyncio.Future[None]] = []
+        self.last_received_at = self.loop.time()
+        self.last_used_at = self.last_received_at
+        self.pong_waiters: list[asyncio.Future[None]] = []
         self.peer_closing = False
         self.lost = False
-        self.reading: asyncio.Task[None] | None = None
-        self.ticker: asyncio.TimerHandle | None = None
-        self.cleanup: asyncio.Task[None] | None = None
+        self.read_task: asyncio.Task[None] | None = None
+        self.tick_timer: asyncio.TimerHandle | None = None
+        self.cleanup_task: asyncio.Task[None] | None = None
 
     @property
     def usable(self) -> bool:
         """Return whether the stream takes new requests."""
-        return not (self.lost or self.orderly)
+        return not (self.lost or self.is_closing)
 
     @property
-    def orderly(self) -> bool:
+    def is_closing(self) -> bool:
         """Return whether either end has said that it closes the stream."""
         return self.peer_closing or self.incoming.closing
 
@@ -91,11 +91,11 @@
     def busy(self) -> bool:
         """Return whether silence of the peer would matter now."""
         outstanding = len(self.pending) or len(self.incoming)
-        return bool(outstanding) or self.is_watched(self.vm)
+        return bool(outstanding) or self.is_monitored(self.vm)
 
     async def start(self) -> None:
         """Begin to read the peer's messages."""
-        self.reading = asyncio.create_task(self.read_frames())
+        self.read_task = asyncio.create_task(self.read_frames())
 
     async def request(self, message: Request, deadline: float) -> PeerReply:
         """Send a request and return its answer.
@@ -104,23 +104,23 @@
           message: The request; its number is filled in.
           deadline: When to give up, on the event loop's clock.
         """
-        pending = await self.begin_request(message, deadline)
+        pending = await self.send_request(message, deadline)
         if isinstance(pending, PeerUnreachable):
             return pending
         try:
             async with asyncio.timeout_at(deadline):
                 answer = await pending.first
         except TimeoutError:
-            self.abandon(pending.number)
+            self.cancel_request(pending.number)
             return self.unreachable("timeout", sent=True)
         except asyncio.CancelledError:
-            self.abandon(pending.number)
+            self.cancel_request(pending.number)
             raise
         if isinstance(answer, Answer) and has_more(answer):
-            return self.streamed(answer, pending, deadline)
+            return self.streamed_answer(answer, pending, deadline)
         return answer
 
-    async def begin_request(
+    async def send_request(
         self, message: Request, deadline: float
     ) -> PendingRequest | PeerUnreachable:
         """Hand a request to the connection.
@@ -129,17 +129,17 @@
           message: The request.
           deadline: When to give up, on the event loop's clock.
         """
-        if not await self.ready(deadline):
+        if not await self.wait_until_writable(deadline):
             return self.unreachable("the stream is closed", sent=False)
         if len(self.pending) >= MAX_PENDING:
             return self.unreachable("too many requests", sent=False)
         number = self.pending.next_number()
         numbered = attrs.evolve(message, request_number=number)
-        if not self.outbox.post(numbered):
+        if not self.message_writer.post(numbered):
             return self.unreachable("the request was not sent", sent=False)
-        self.used_at = self.loop.time()
+        self.last_used_at = self.loop.time()
         pending = self.pending.add(number, type(message))
-        self.watch()
+        self.start_liveness_checks()
         return pending
 
     async def notify(self, message: Message, deadline: float) -> bool:
@@ -152,12 +152,12 @@
         Returns:
           Whether it was handed to the connection.
         """
-        if not await self.ready(deadline):
+        if not await self.wait_until_writable(deadline):
             return False
-        self.used_at = self.loop.time()
-        return self.outbox.post(message)
+        self.last_used_at = self.loop.time()
+        return self.message_writer.post(message)
 
-    async def ready(self, deadline: float) -> bool:
+    async def wait_until_writable(self, deadline: float) -> bool:
         """Return whether the stream takes a message, with room for it.
 
         Args:
@@ -165,13 +165,13 @@
         """
         try:
             async with asyncio.timeout_at(deadline):
-                await self.check_idle()
+                await self.probe_if_idle()
                 drained = await self.connection.writer.drain()
         except TimeoutError:
             return False
         return drained and self.usable
 
-    def streamed(
+    def streamed_answer(
         self, first: Answer, pending: PendingRequest, deadline: float
     ) -> StreamedAnswer:
         """Return the reader of a large answer.
@@ -188,7 +188,7 @@
             pending,
             deadline,
             credit=lambda count: self.post(ChunkCredit(number, count)),
-            abandon=lambda: self.abandon(number),
+            cancel_request=lambda: self.cancel_request(number),
         )
 
     def unreachable(self, detail: str, *, sent: bool) -> PeerUnreachable:
@@ -200,14 +200,14 @@
         """
         return PeerUnreachable(self.vm, sent, detail)
 
-    def abandon(self, number: int) -> None:
+    def cancel_request(self, number: int) -> None:
         """Stop waiting for an answer and tell the peer.
 
         Args:
           number: The request's number.
         """
         if number in self.pending.by_number:
-            self.pending.forget(number)
+            self.pending.discard(number)
             self.post(Cancel(number))
 
     def post(self, message: Message) -> None:
@@ -217,32 +217,32 @@
           message: The message.
         """
         if not self.lost:
-            self.outbox.post(message)
+            self.message_writer.post(message)
 
-    async def check_idle(self) -> None:
+    async def probe_if_idle(self) -> None:
         """Make sure that the peer is there after a pause, or lose it."""
-        if self.loop.time() - self.heard_at < IDLE_CHECK_AFTER_SECONDS:
+        if self.loop.time() - self.last_received_at < IDLE_PROBE_AFTER_SECONDS:
             return
         pong = self.loop.create_future()
-        self.pongs.append(pong)
+        self.pong_waiters.append(pong)
         self.post(Ping(0))
         try:
-            async with asyncio.timeout(IDLE_CHECK_SECONDS):
+            async with asyncio.timeout(IDLE_PROBE_TIMEOUT_SECONDS):
                 await pong
         except TimeoutError:
-            self.lose("no answer after a pause")
+            self.disconnect("no answer after a pause")
         finally:
-            self.pongs.remove(pong)
+            self.pong_waiters.remove(pong)
 
-    def heard(self) -> None:
+    def record_frame(self) -> None:
         """Note that a frame came in."""
-        self.liveness.heard()
-        self.heard_at = self.loop.time()
-        self.used_at = self.heard_at
+        self.liveness.record_frame()
+        self.last_received_at = self.loop.time()
+        self.last_used_at = self.last_received_at
 
-    def wake_pongs(self) -> None:
+    def resolve_pong_waiters(self) -> None:
         """Let those go on who wait for the peer to answer a ping."""
-        for pong in self.pongs:
+        for pong in self.pong_waiters:
             if not pong.done():
                 pong.set_result(None)
 
@@ -251,33 +251,35 @@
         while not self.lost:
             frame = await self.connection.reader.read()
             if isinstance(frame, StreamEnd):
-                self.lose(frame.detail)
+                self.disconnect(frame.detail)
                 return
-            self.heard()
+            self.record_frame()
             message = self.connection.codec.decode(frame)
             if not receive(message, self):
-                self.lose(f"broken protocol: {type(message).__name__}")
+                self.disconnect(f"broken protocol: {type(message).__name__}")
 
-    def watch(self) -> None:
+    def start_liveness_checks(self) -> None:
         """Watch over the peer while something is outstanding."""
-        if self.ticker is None and not self.lost:
-            self.liveness.heard()
-            self.ticker = self.loop.call_later(TICK_SECONDS, self.tick)
+        if self.tick_timer is None and not self.lost:
+            self.liveness.record_frame()
+            self.tick_timer = self.loop.call_later(
+                TICK_INTERVAL_SECONDS, self.tick
+            )
 
     def tick(self) -> None:
         """Ping a silent peer or give it up."""
-        self.ticker = None
+        self.tick_timer = None
         if not self.busy:
             return
         action = self.liveness.tick()
-        if action is LivenessAction.GIVE_UP:
-            self.lose("silent")
+        if action is LivenessAction.DISCONNECT:
+            self.disconnect("silent")
             return
         if action is LivenessAction.PING:
             self.post(Ping(0))
-        self.ticker = self.loop.call_later(TICK_SECONDS, self.tick)
+        self.tick_timer = self.loop.call_later(TICK_INTERVAL_SECONDS, self.tick)
 
-    def lose(self, detail: str) -> None:
+    def disconnect(self, detail: str) -> None:
         """Drop the connection and end everything outstanding.
 
         Args:
@@ -287,32 +289,32 @@
             return
         self.lost = True
         self.connection.writer.abort()
-        self.pending.lose_all(detail)
-        if self.ticker:
-            self.ticker.cancel()
-        self.wake_pongs()
-        self.cleanup = asyncio.create_task(self.incoming.close())
+        self.pending.fail_all(detail)
+        if self.tick_timer:
+            self.tick_timer.cancel()
+        self.resolve_pong_waiters()
+        self.cleanup_task = asyncio.create_task(self.incoming.close())
         self.on_lost(self, detail)
 
     async def close(self) -> None:
         """Answer what was asked, then close; a new request is not run.
 
-        What is unanswered after `CLOSE_SECONDS` is given up.
+        What is unanswered after `CLOSE_TIMEOUT_SECONDS` is given up.
         """
         if not self.lost and not self.incoming.closing:
             self.incoming.closing = True
             self.post(Closing(self.incoming.last_number))
-            await self.finish()
-        self.lose("closed")
-        if self.cleanup:
-            await self.cleanup
-        if self.reading:
-            await self.reading
-
-    async def finish(self) -> None:
+            await self.finish_outstanding()
+        self.disconnect("closed")
+        if self.cleanup_task:
+            await self.cleanup_task
+        if self.read_task:
+            await self.read_task
+
+    async def finish_outstanding(self) -> None:
         """Wait until nothing is outstanding and every byte is sent."""
         try:
-            async with asyncio.timeout(CLOSE_SECONDS):
+            async with asyncio.timeout(CLOSE_TIMEOUT_SECONDS):
                 await self.incoming.idle.wait()
                 await self.pending.idle.wait()
                 await self.connection.writer.close()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream_pool.py
@@ -11,7 +11,7 @@
 from jackdawcrank.peers.peer_connection import PeerConnection
 from jackdawcrank.peers.peer_handlers import PeerHandlers
 from jackdawcrank.peers.peer_identity import PeerIdentity
-from jackdawcrank.peers.peer_stream import IsWatched, PeerReply, PeerStream
+from jackdawcrank.peers.peer_stream import IsMonitored, PeerReply, PeerStream
 from jackdawcrank.peers.peer_unreachable import PeerUnreachable
 from jackdawcrank.peers.request_types import Request
 from jackdawcrank.peers.streamed_answer import StreamedAnswer
@@ -21,9 +21,9 @@
 
 MAX_RESULT_BYTES = 64 * 1024 * 1024
 MAX_ATTEMPTS = 2
-IDLE_CLOSE_SECONDS = 60.0
+IDLE_TIMEOUT_SECONDS = 60.0
 SWEEP_INTERVAL_SECONDS = 10.0
-NOTIFY_SECONDS = 2.0
+NOTIFY_TIMEOUT_SECONDS = 2.0
 
 Address = tuple[str, int]
 LostCallback = collections.abc.Callable[[str, str], None]
@@ -39,7 +39,7 @@
     Attributes:
       lost_callbacks: Called with a VM and a reason when the stream to it
         breaks; a stream that either end closes in order is not lost.
-      is_watched: Returns whether something besides requests depends on a VM,
+      is_monitored: Returns whether something besides requests depends on a VM,
         such as a transaction that one of its callers has open here.
       config_version: The configuration version told to peers on connect.
     """
@@ -66,11 +66,13 @@
         self.addresses: dict[str, Address] = {}
         self.streams: dict[str, PeerStream] = {}
         self.all_streams: set[PeerStream] = set()
-        self.dials: dict[str, asyncio.Task[PeerStream | PeerUnreachable]] = {}
+        self.pending_dials: dict[
+            str, asyncio.Task[PeerStream | PeerUnreachable]
+        ] = {}
         self.backoffs: dict[str, Backoff] = {}
         self.lost_callbacks: list[LostCallback] = []
-        self.is_watched: IsWatched = lambda vm: False
-        self.closings: set[asyncio.Task[None]] = set()
+        self.is_monitored: IsMonitored = lambda vm: False
+        self.pending_closes: set[asyncio.Task[None]] = set()
         self.subscription: Subscription | None = None
         self.config_version = 0
         self.closed = False
@@ -116,12 +118,12 @@
           message: The request; its number is filled in.
           timeout: When to give up, in seconds from now.
         """
-        reply = await self.open_answer(vm, message, timeout)
+        reply = await self.request_streamed(vm, message, timeout)
         if isinstance(reply, StreamedAnswer):
             return await reply.collect(MAX_RESULT_BYTES)
         return reply
 
-    async def open_answer(
+    async def request_streamed(
         self, vm: str, message: Request, timeout: float
     ) -> PeerReply:
         """Send a request and return its answer, a large one in parts.
@@ -146,7 +148,7 @@
         return reply
 
     async def notify(
-        self, vm: str, message: Message, timeout: float = NOTIFY_SECONDS
+        self, vm: str, message: Message, timeout: float = NOTIFY_TIMEOUT_SECONDS
     ) -> bool:
         """Send a message that has no answer.
 
@@ -196,21 +198,23 @@
             return stream
         try:
             async with asyncio.timeout_at(deadline):
-                return await asyncio.shield(self.dialing(vm))
+                return await asyncio.shield(self.shared_dial(vm))
         except TimeoutError:
             return PeerUnreachable(vm, False, "no connection in time")
 
-    def dialing(self, vm: str) -> asyncio.Task[PeerStream | PeerUnreachable]:
+    def shared_dial(
+        self, vm: str
+    ) -> asyncio.Task[PeerStream | PeerUnreachable]:
         """Return the dialing of a VM, which all who need it share.
 
         Args:
           vm: The VM.
         """
-        task = self.dials.get(vm)
+        task = self.pending_dials.get(vm)
         if task is None:
             task = asyncio.create_task(self.dial(vm))
-            self.dials[vm] = task
-            task.add_done_callback(lambda _: self.dials.pop(vm, None))
+            self.pending_dials[vm] = task
+            task.add_done_callback(lambda _: self.pending_dials.pop(vm, None))
         return task
 
     async def dial(self, vm: str) -> PeerStream | PeerUnreachable:
@@ -228,12 +232,12 @@
             return PeerUnreachable(vm, False, "failed a short time ago")
         connection = await self.connector.dial(vm, *address)
         if isinstance(connection, HandshakeFailed):
-            backoff.failed(asyncio.get_running_loop().time())
+            backoff.record_failure(asyncio.get_running_loop().time())
             return PeerUnreachable(vm, False, connection.detail)
-        backoff.succeeded()
-        return await self.adopt(connection)
+        backoff.record_success()
+        return await self.add_connection(connection)
 
-    async def adopt(self, connection: PeerConnection) -> PeerStream:
+    async def add_connection(self, connection: PeerConnection) -> PeerStream:
         """Run a stream on a proven connection.
 
         Args:
@@ -242,11 +246,11 @@
         stream = PeerStream(
             connection,
             self.handlers,
-            self.forget,
-            self.watched,
+            self.remove_stream,
+            self.is_peer_monitored,
         )
         self.all_streams.add(stream)
-        if self.prefers(stream):
+        if self.replaces_current(stream):
             self.streams[stream.vm] = stream
         stream.post(
             Hello(self.vm, self.boot, config_version=self.config_version)
@@ -254,7 +258,7 @@
         await stream.start()
         return stream
 
-    def prefers(self, stream: PeerStream) -> bool:
+    def replaces_current(self, stream: PeerStream) -> bool:
         """Return whether a new stream replaces the one in use.
 
         Args:
@@ -271,15 +275,15 @@
             or current.connection.dialer != preferred
         )
 
-    def watched(self, vm: str) -> bool:
+    def is_peer_monitored(self, vm: str) -> bool:
         """Return whether a VM's silence matters without any request.
 
         Args:
           vm: The VM.
         """
-        return self.is_watched(vm)
+        return self.is_monitored(vm)
 
-    def forget(self, stream: PeerStream, detail: str) -> None:
+    def remove_stream(self, stream: PeerStream, detail: str) -> None:
         """Use a lost stream no more.
 
         Args:
@@ -290,7 +294,7 @@
         if self.streams.get(stream.vm) is not stream:
             return
         del self.streams[stream.vm]
-        if not stream.orderly:
+        if not stream.is_closing:
             for callback in self.lost_callbacks:
                 callback(stream.vm, detail)
 
@@ -301,22 +305,22 @@
           now: The timer's time; not used, since streams keep the loop's time.
         """
         del now
-        limit = asyncio.get_running_loop().time() - IDLE_CLOSE_SECONDS
+        limit = asyncio.get_running_loop().time() - IDLE_TIMEOUT_SECONDS
         for stream in list(self.all_streams):
-            if stream.used_at < limit and not stream.busy:
+            if stream.last_used_at < limit and not stream.busy:
                 task = asyncio.create_task(stream.close())
-                self.closings.add(task)
-                task.add_done_callback(self.closings.discard)
+                self.pending_closes.add(task)
+                task.add_done_callback(self.pending_closes.discard)
 
     async def close(self) -> None:
         """Answer what peers have asked, then close every stream."""
         self.closed = True
         if self.subscription:
             self.subscription.close()
-        for dial in list(self.dials.values()):
+        for dial in list(self.pending_dials.values()):
             dial.cancel()
-        closings = [stream.close() for stream in self.all_streams]
-        await asyncio.gather(*closings, *self.closings)
+        pending_closes = [stream.close() for stream in self.all_streams]
+        await asyncio.gather(*pending_closes, *self.pending_closes)
 
 
 def is_unsent(reply: PeerReply) -> bool:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/pending_request.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/pending_request.py
@@ -28,7 +28,7 @@
     first: asyncio.Future[Message | PeerUnreachable]
     chunks: asyncio.Queue[ChunkEvent] | None = None
 
-    def begin_chunks(self) -> None:
+    def open_chunk_queue(self) -> None:
         """Expect further parts, as many as the window and an end."""
         self.chunks = asyncio.Queue(WINDOW_CHUNKS + 2)
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/pending_requests.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/pending_requests.py
@@ -52,7 +52,7 @@
         self.idle.clear()
         return request
 
-    def forget(self, number: int) -> None:
+    def discard(self, number: int) -> None:
         """Stop waiting; a later answer is dropped.
 
         Args:
@@ -78,9 +78,9 @@
         if ANSWER_TYPES[request.request_type] is not type(answer):
             return False
         if has_more(answer):
-            request.begin_chunks()
+            request.open_chunk_queue()
         else:
-            self.forget(answer.request_number)
+            self.discard(answer.request_number)
         request.first.set_result(answer)
         return True
 
@@ -102,7 +102,7 @@
             return False
         request.chunks.put_nowait(chunk)
         if isinstance(chunk, AnswerEnd):
-            self.forget(number)
+            self.discard(number)
         return True
 
     def refuse(self, refusal: Refused) -> None:
@@ -116,9 +116,9 @@
             self.dropped += 1
             return
         if MESSAGE_TYPES.get(refusal.message_number) is request.request_type:
-            self.end(request, sent=False, detail=str(refusal.reason))
+            self.fail_request(request, sent=False, detail=str(refusal.reason))
 
-    def break_off(self, failure: RequestFailed) -> None:
+    def handle_failure(self, failure: RequestFailed) -> None:
         """End a request whose handler broke down.
 
         Args:
@@ -126,7 +126,7 @@
         """
         request = self.by_number.get(failure.request_number)
         if request is not None:
-            self.end(request, sent=True, detail=failure.detail)
+            self.fail_request(request, sent=True, detail=failure.detail)
 
     def refuse_above(self, last_number: int) -> None:
         """End the requests that a closing peer will not handle.
@@ -136,18 +136,22 @@
         """
         for request in list(self.by_number.values()):
             if request.number > last_number:
-                self.end(request, sent=False, detail="the peer is closing")
+                self.fail_request(
+                    request, sent=False, detail="the peer is closing"
+                )
 
-    def lose_all(self, detail: str) -> None:
+    def fail_all(self, detail: str) -> None:
         """End every request, since the stream is lost.
 
         Args:
           detail: What happened to the stream.
         """
         for request in list(self.by_number.values()):
-            self.end(request, sent=True, detail=detail)
+            self.fail_request(request, sent=True, detail=detail)
 
-    def end(self, request: PendingRequest, *, sent: bool, detail: str) -> None:
+    def fail_request(
+        self, request: PendingRequest, *, sent: bool, detail: str
+    ) -> None:
         """End one request without an answer.
 
         Args:
@@ -155,7 +159,7 @@
           sent: Whether it may have reached a handler.
           detail: What happened.
         """
-        self.forget(request.number)
+        self.discard(request.number)
         request.fail(PeerUnreachable(self.vm, sent, detail))
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/receive.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/receive.py
@@ -40,8 +40,8 @@
       False if the peer broke the protocol, so that the stream must end.
     """
     assert not isinstance(message, Malformed)
-    stream.incoming.begin(message)
-    stream.watch()
+    stream.incoming.start_handler(message)
+    stream.start_liveness_checks()
     return True
 
 
@@ -76,7 +76,7 @@
 @receive.register(Pong)
 def receive_pong(_: Pong, stream: "PeerStream") -> bool:
     """Note that the peer is there."""
-    stream.wake_pongs()
+    stream.resolve_pong_waiters()
     return True
 
 
@@ -114,7 +114,7 @@
 @receive.register(RequestFailed)
 def receive_failed(message: RequestFailed, stream: "PeerStream") -> bool:
     """End a request whose handler broke down."""
-    stream.pending.break_off(message)
+    stream.pending.handle_failure(message)
     return True
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/streamed_answer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/streamed_answer.py
@@ -35,14 +35,14 @@
         request: PendingRequest,
         deadline: float,
         credit: Credit,
-        abandon: collections.abc.Callable[[], None],
+        cancel_request: collections.abc.Callable[[], None],
     ) -> None:
         self.vm = vm
         self.first = first
         self.request = request
         self.deadline = deadline
         self.credit = credit
-        self.abandon = abandon
+        self.cancel_request = cancel_request
         self.end: AnswerEnd | PeerUnreachable | None = None
         self.row_count = len(first_rows(first))
 
@@ -51,7 +51,7 @@
         while self.end is None:
             event = await self.next_event()
             if isinstance(event, AnswerEnd):
-                self.end = self.checked(event)
+                self.end = self.check_row_count(event)
             elif isinstance(event, PeerUnreachable):
                 self.end = event
             else:
@@ -61,7 +61,7 @@
 
     def close(self) -> None:
         """Say that no further part is wanted."""
-        self.abandon()
+        self.cancel_request()
 
     async def next_event(self) -> ChunkEvent:
         """Return the next part, or that none came before the deadline."""
@@ -71,10 +71,10 @@
             async with asyncio.timeout_at(self.deadline):
                 return await self.request.chunks.get()
         except TimeoutError:
-            self.abandon()
+            self.cancel_request()
             return PeerUnreachable(self.vm, sent=True, detail="timeout")
 
-    def checked(self, end: AnswerEnd) -> AnswerEnd | PeerUnreachable:
+    def check_row_count(self, end: AnswerEnd) -> AnswerEnd | PeerUnreachable:
         """Return an end, or a failure if rows are missing before it.
 
         Args:
@@ -100,9 +100,9 @@
                     return PeerUnreachable(self.vm, True, TOO_LARGE)
         finally:
             self.close()
-        return self.joined(tuple(rows))
+        return self.assemble(tuple(rows))
 
-    def joined(self, rows: Rows) -> Answer | PeerUnreachable:
+    def assemble(self, rows: Rows) -> Answer | PeerUnreachable:
         """Return the answer with all its rows, or why it broke off.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
@@ -86,7 +86,7 @@
         self.registry = self._make_registry()
         self.classes = CallerClasses(time.monotonic)
         self.router = self._make_router()
-        self.peer_pool.is_watched = self._is_watched
+        self.peer_pool.is_monitored = self._is_monitored
         self.follower = self._make_follower()
         self.compactor = ChangeLogCompactor(
             self.store, self.follower.state, self.timer, self.rng
@@ -320,7 +320,7 @@
         if self.tracker is not None:
             self.tracker.stream_failed(vm)
 
-    def _is_watched(self, vm: str) -> bool:
+    def _is_monitored(self, vm: str) -> bool:
         """Return whether a transaction ties this VM and a peer together."""
         if self.registry.holds_sessions_of(vm):
             return True
--- a/packages/jackdawcrank-proxy/tests/peers/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/peers/conftest.py
@@ -172,7 +172,7 @@
     async def close(self) -> None:
         for node in (self.a, self.b, *self.extra):
             for stream in list(node.peer_pool.all_streams):
-                stream.lose("end of test")
+                stream.disconnect("end of test")
             await node.close()
         await self.relay.close()
 
--- a/packages/jackdawcrank-proxy/tests/peers/test_golden_session.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_golden_session.py
@@ -115,7 +115,7 @@
     """Wait until everything that was sent has passed the relay."""
     for peer_pool in (pair.a.peer_pool, pair.b.peer_pool):
         for stream in peer_pool.streams.values():
-            await stream.check_idle()
+            await stream.probe_if_idle()
 
 
 async def run_session(pair: typing.Any, recorder: Recorder) -> None:
@@ -156,7 +156,7 @@
 async def test_a_whole_session(
     pair: typing.Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(stream_module, "IDLE_CHECK_AFTER_SECONDS", -1.0)
+    monkeypatch.setattr(stream_module, "IDLE_PROBE_AFTER_SECONDS", -1.0)
     recorder = Recorder()
     pair.relay.hook = recorder
     fill_backends(pair)
--- a/packages/jackdawcrank-proxy/tests/peers/test_peer_server.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_peer_server.py
@@ -61,7 +61,7 @@
 async def test_garbage_closes_the_connection(
     pair: typing.Any, junk: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handshake_module, "HANDSHAKE_SECONDS", 60.0)
+    monkeypatch.setattr(handshake_module, "HANDSHAKE_TIMEOUT_SECONDS", 60.0)
     reader, writer = await connect(pair)
     writer.write(junk)
     await read_to_end(reader)
@@ -73,7 +73,7 @@
 async def test_a_connection_that_says_nothing_is_closed(
     pair: typing.Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handshake_module, "HANDSHAKE_SECONDS", 0.03)
+    monkeypatch.setattr(handshake_module, "HANDSHAKE_TIMEOUT_SECONDS", 0.03)
     reader, writer = await connect(pair)
     await read_to_end(reader)
     writer.close()
--- a/packages/jackdawcrank-proxy/tests/peers/test_peer_stream_pool.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_peer_stream_pool.py
@@ -121,7 +121,7 @@
 async def test_a_stream_that_goes_silent_is_replaced(
     pair: typing.Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(stream_module, "TICK_SECONDS", 0.005)
+    monkeypatch.setattr(stream_module, "TICK_INTERVAL_SECONDS", 0.005)
     await pair.a.ask("vm-b", b"one")
     stream = pair.a.peer_pool.streams["vm-b"]
     pair.relay.freeze()
@@ -135,7 +135,7 @@
 async def test_a_slow_handler_is_not_taken_for_silence(
     pair: typing.Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(stream_module, "TICK_SECONDS", 0.002)
+    monkeypatch.setattr(stream_module, "TICK_INTERVAL_SECONDS", 0.002)
     hold = pair.b.backend.hold(b"slow")
     task = asyncio.create_task(pair.a.ask("vm-b", b"slow"))
     await asyncio.sleep(0.05)
@@ -149,8 +149,8 @@
 ) -> None:
     await pair.a.ask("vm-b", b"one")
     pair.relay.freeze()
-    monkeypatch.setattr(stream_module, "IDLE_CHECK_AFTER_SECONDS", -1.0)
-    monkeypatch.setattr(stream_module, "IDLE_CHECK_SECONDS", 0.02)
+    monkeypatch.setattr(stream_module, "IDLE_PROBE_AFTER_SECONDS", -1.0)
+    monkeypatch.setattr(stream_module, "IDLE_PROBE_TIMEOUT_SECONDS", 0.02)
     assert info(await pair.a.ask("vm-b", b"two")) == "two"
     assert pair.b.backend.seen == [b"one", b"two"]
     assert pair.relay.accepted == 2
@@ -159,10 +159,10 @@
 async def test_a_watched_peer_that_goes_silent_is_noticed(
     pair: typing.Any, monkeypatch: pytest.MonkeyPatch, eventually: typing.Any
 ) -> None:
-    monkeypatch.setattr(stream_module, "TICK_SECONDS", 0.005)
+    monkeypatch.setattr(stream_module, "TICK_INTERVAL_SECONDS", 0.005)
     lost: list[str] = []
     pair.b.peer_pool.lost_callbacks.append(lambda vm, _: lost.append(vm))
-    pair.b.peer_pool.is_watched = lambda vm: vm == "vm-a"
+    pair.b.peer_pool.is_monitored = lambda vm: vm == "vm-a"
     await pair.a.ask("vm-b", b"one")
     pair.relay.freeze()
     await eventually(lambda: lost == ["vm-a"])
@@ -299,7 +299,7 @@
         node.peer_pool.lost_callbacks.append(lambda vm, _: lost.append(vm))
     await pair.a.peer_pool.close_idle(0.0)
     assert stream.usable
-    stream.used_at -= 100.0
+    stream.last_used_at -= 100.0
     await pair.a.peer_pool.close_idle(0.0)
     await eventually(lambda: stream.lost and not pair.b.peer_pool.streams)
     assert lost == []
@@ -396,7 +396,7 @@
         0, ResultRows(COLUMNS, (ROW,) * 500)
     )
     statement = StatementRequest("soil", b"big")
-    answer = await pair.a.peer_pool.open_answer(
+    answer = await pair.a.peer_pool.request_streamed(
         "vm-b", Execute(0, statement), 10.0
     )
     assert isinstance(answer, StreamedAnswer)
--- a/packages/jackdawcrank-proxy/tests/peers/test_pending_requests.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_pending_requests.py
@@ -37,7 +37,7 @@
     assert requests.resolve(Answer(2, ResultOk()))
     assert requests.add_chunk(1, ((b"row",),))
     assert requests.add_chunk(1, AnswerEnd(1))
-    requests.break_off(RequestFailed(2))
+    requests.handle_failure(RequestFailed(2))
     assert requests.dropped == 3
     assert not request.first.done()
 
@@ -48,5 +48,5 @@
     answer = Answer(1, ResultOk())
     requests.resolve(answer)
     requests.refuse(refusal(Execute))
-    requests.lose_all("silent")
+    requests.fail_all("silent")
     assert request.first.result() == answer
--- a/packages/jackdawcrank-proxy/tests/peers/test_small_parts.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_small_parts.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from jackdawcrank.peers.backoff import MAX_PAUSE_SECONDS, Backoff
+from jackdawcrank.peers.backoff import MAX_DELAY_SECONDS, Backoff
 from jackdawcrank.peers.liveness import Liveness, LivenessAction
 from jackdawcrank.peers.proof_digest import ProofRole, proof_digest
 from jackdawcrank.peers.split_rows import row_size, split_rows
@@ -14,13 +14,13 @@
 def test_backoff_grows_and_is_reset_by_success() -> None:
     backoff = Backoff(random.Random(1))
     assert backoff.allows(0.0)
-    pauses = []
+    delays = []
     for _ in range(12):
-        backoff.failed(10.0)
+        backoff.record_failure(10.0)
         assert not backoff.allows(10.0)
-        pauses.append(backoff.next_attempt_at - 10.0)
-    assert pauses[0] < pauses[3] < pauses[-1] <= MAX_PAUSE_SECONDS
-    backoff.succeeded()
+        delays.append(backoff.next_attempt_at - 10.0)
+    assert delays[0] < delays[3] < delays[-1] <= MAX_DELAY_SECONDS
+    backoff.record_success()
     assert backoff.allows(0.0)
 
 
@@ -29,15 +29,15 @@
     actions = [liveness.tick() for _ in range(7)]
     assert actions[0] is LivenessAction.NONE
     assert set(actions[1:6]) == {LivenessAction.PING}
-    assert actions[6] is LivenessAction.GIVE_UP
+    assert actions[6] is LivenessAction.DISCONNECT
 
 
 def test_a_frame_in_time_keeps_a_stream_alive() -> None:
     liveness = Liveness()
     for _ in range(50):
-        liveness.heard()
+        liveness.record_frame()
         for _ in range(6):
-            assert liveness.tick() is not LivenessAction.GIVE_UP
+            assert liveness.tick() is not LivenessAction.DISCONNECT
 
 
 CELLS = st.none() | st.binary(max_size=50)
--- a/packages/jackdawcrank-proxy/tests/process/test_proxy.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_proxy.py
@@ -51,15 +51,15 @@
 async def test_peers_are_watched_while_transactions_tie_them(
     proxy: Proxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    watched = proxy.peer_pool.watched
-    assert not watched("vm1")
+    is_peer_monitored = proxy.peer_pool.is_peer_monitored
+    assert not is_peer_monitored("vm1")
     proxy.router.pinned["t1"] = "vm1"
-    assert watched("vm1")
+    assert is_peer_monitored("vm1")
     proxy.router.pinned.clear()
     held: Any = SimpleNamespace(session_id="vm2:5f3a:7")
     home: Any = SimpleNamespace(
         group=SimpleNamespace(transactions=SimpleNamespace(open={"t1": held}))
     )
     monkeypatch.setitem(proxy.registry.homes, "ledger", home)
-    assert watched("vm2")
-    assert not watched("vm1")
+    assert is_peer_monitored("vm2")
+    assert not is_peer_monitored("vm1")
