--- a/packages/jackdawcrank-proxy/tests/peers/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/peers/conftest.py
@@ -22,7 +22,7 @@
 Hook = collections.abc.Callable[[str, Message], list[Message]]
 
 
-class Relay:
+class FrameInterceptor:
     """Passes frames on and lets a test change, repeat or drop them.
 
     Attributes:
@@ -36,7 +36,7 @@
         self.hook: Hook = lambda side, message: [message]
         self.writers: list[FrameWriter] = []
         self.pumps: set[asyncio.Task[None]] = set()
-        self.silenced: set[FrameWriter] = set()
+        self.blackholed: set[FrameWriter] = set()
         self.accepted = 0
 
     async def start(self) -> None:
@@ -67,46 +67,46 @@
         while not isinstance(frame := await reader.read(), StreamEnd):
             message = self.codec.decode(frame)
             for passed in self.hook(side, typing.cast(Message, message)):
-                if writer not in self.silenced:
+                if writer not in self.blackholed:
                     writer.write(self.codec.encode(passed))
-        if writer not in self.silenced:
+        if writer not in self.blackholed:
             writer.writer.close()
 
-    def freeze(self) -> None:
+    def blackhole(self) -> None:
         """Pass nothing more on the connections that are open."""
-        self.silenced.update(self.writers)
+        self.blackholed.update(self.writers)
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         """Abort the connections that are open."""
         for writer in self.writers:
             writer.abort()
 
     async def close(self) -> None:
         self.server.close()
-        self.cut()
+        self.abort_connections()
         for pump in self.pumps:
             pump.cancel()
         await asyncio.gather(*self.pumps, return_exceptions=True)
 
 
-class Backend:
+class StubHandler:
     """A handler of statements that a test can hold back."""
 
     def __init__(self) -> None:
         self.seen: list[bytes] = []
         self.cancelled: list[bytes] = []
-        self.holds: dict[bytes, asyncio.Event] = {}
+        self.release_events: dict[bytes, asyncio.Event] = {}
         self.answers: dict[bytes, typing.Any] = {}
 
-    def hold(self, sql: bytes) -> asyncio.Event:
-        return self.holds.setdefault(sql, asyncio.Event())
+    def release_event(self, sql: bytes) -> asyncio.Event:
+        return self.release_events.setdefault(sql, asyncio.Event())
 
     async def __call__(self, vm: str, message: Execute) -> typing.Any:
         sql = message.statement.sql
         self.seen.append(sql)
         try:
-            if sql in self.holds:
-                await self.holds[sql].wait()
+            if sql in self.release_events:
+                await self.release_events[sql].wait()
         except asyncio.CancelledError:
             self.cancelled.append(sql)
             raise
@@ -123,9 +123,9 @@
     ) -> None:
         rng = random.Random(vm + boot)
         self.vm = vm
-        self.backend = Backend()
+        self.stub_handler = StubHandler()
         self.handlers = PeerHandlers()
-        self.handlers.register(Execute, self.backend)
+        self.handlers.register(Execute, self.stub_handler)
         self.peer_pool = PeerStreamPool(
             vm, boot, secret, self.handlers, rng=rng, nonce_source=rng.randbytes
         )
@@ -136,7 +136,7 @@
     async def start(self) -> None:
         await self.server.start()
 
-    async def ask(
+    async def execute(
         self, vm: str, sql: bytes, timeout: float = 2.0
     ) -> typing.Any:
         statement = StatementRequest("soil", sql)
@@ -151,7 +151,7 @@
     """`vm-a`, which reaches `vm-b` through the relay."""
 
     def __init__(self) -> None:
-        self.relay = Relay()
+        self.interceptor = FrameInterceptor()
         self.a = Node("vm-a")
         self.b = Node("vm-b")
         self.extra: list[Node] = []
@@ -159,9 +159,11 @@
     async def start(self) -> None:
         await self.a.start()
         await self.b.start()
-        self.relay.target = self.b.server.port
-        await self.relay.start()
-        self.a.peer_pool.set_addresses({"vm-b": ("127.0.0.1", self.relay.port)})
+        self.interceptor.target = self.b.server.port
+        await self.interceptor.start()
+        self.a.peer_pool.set_addresses(
+            {"vm-b": ("127.0.0.1", self.interceptor.port)}
+        )
 
     async def add(self, vm: str, **options: typing.Any) -> Node:
         node = Node(vm, **options)
@@ -174,7 +176,7 @@
             for stream in list(node.peer_pool.all_streams):
                 stream.disconnect("end of test")
             await node.close()
-        await self.relay.close()
+        await self.interceptor.close()
 
 
 @pytest.fixture
--- a/packages/jackdawcrank-proxy/tests/peers/test_golden_session.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_golden_session.py
@@ -52,17 +52,17 @@
         if not isinstance(message, Ping | Pong):
             number, version, _ = msgpack.unpackb(CODEC.encode(message))
             name = type(message).__name__
-            line = f"{side:8} {name} [{number}, {version}, {plain(message)}]"
+            line = f"{side:8} {name} [{number}, {version}, {to_plain(message)}]"
             self.step[side].append(line)
         return [message]
 
-    def end(self, title: str) -> None:
+    def end_step(self, title: str) -> None:
         lines = self.step["dialer"] + self.step["acceptor"]
         self.lines += [f"# {title}", *lines, ""]
         self.step = {"dialer": [], "acceptor": []}
 
 
-def plain(value: typing.Any) -> typing.Any:
+def to_plain(value: typing.Any) -> typing.Any:
     """Return a value as lists, without fields that hold their defaults.
 
     Only fields at the end are left out, as an older version would.
@@ -71,27 +71,27 @@
         fields = list(attrs.fields(type(value)))
         while fields and getattr(value, fields[-1].name) == fields[-1].default:
             fields.pop()
-        return [plain(getattr(value, field.name)) for field in fields]
+        return [to_plain(getattr(value, field.name)) for field in fields]
     if isinstance(value, enum.StrEnum):
         return str(value)
     if isinstance(value, tuple):
-        return [plain(item) for item in value]
+        return [to_plain(item) for item in value]
     if isinstance(value, bytes) and len(value) > MAX_SHOWN_BYTES:
         return f"{value[:4].hex()}... {len(value)} bytes"
     return value
 
 
-def fill_backends(pair: typing.Any) -> None:
+def register_handlers(pair: typing.Any) -> None:
     plot = ColumnInfo("plot", 253, table="samples")
     rows = ((b"12",), (None,))
-    big = ((b"x" * 40_000,),) * 3
+    large_result = ((b"x" * 40_000,),) * 3
     refusal = ResultError(
         StatementOutcome.NOT_RUN, "overloaded", 1040, retry_after_ms=250
     )
-    pair.b.backend.answers |= {
+    pair.b.stub_handler.answers |= {
         b"SELECT plot": Answer(0, ResultRows((plot,), rows, Position(3, 17))),
         b"INSERT": Answer(0, ResultOk(1, 42, Position(3, 18))),
-        b"SELECT all": Answer(0, ResultRows((plot,), big)),
+        b"SELECT all": Answer(0, ResultRows((plot,), large_result)),
         b"BUSY": Answer(0, refusal),
     }
     pair.b.handlers.register(GiveUpLease, give_up_lease)
@@ -111,7 +111,7 @@
     return EvidenceAnswer(0, message.group, "soil-1", 3, 0.5, suspects=False)
 
 
-async def settle(pair: typing.Any) -> None:
+async def wait_until_delivered(pair: typing.Any) -> None:
     """Wait until everything that was sent has passed the relay."""
     for peer_pool in (pair.a.peer_pool, pair.b.peer_pool):
         for stream in peer_pool.streams.values():
@@ -127,9 +127,9 @@
         "refusal": b"BUSY",
     }
     for title, sql in statements.items():
-        await pair.a.ask("vm-b", sql)
-        await settle(pair)
-        recorder.end(title)
+        await pair.a.execute("vm-b", sql)
+        await wait_until_delivered(pair)
+        recorder.end_step(title)
     requests = {
         "lease given up": a.request("vm-b", GiveUpLease(0, "soil", 4), 2.0),
         "evidence": b.request("vm-a", AskEvidence(0, "soil"), 2.0),
@@ -140,17 +140,17 @@
     }
     for title, request in requests.items():
         await request
-        await settle(pair)
-        recorder.end(title)
-    pair.b.backend.hold(b"held")
-    task = asyncio.create_task(pair.a.ask("vm-b", b"held"))
-    await settle(pair)
+        await wait_until_delivered(pair)
+        recorder.end_step(title)
+    pair.b.stub_handler.release_event(b"held")
+    task = asyncio.create_task(pair.a.execute("vm-b", b"held"))
+    await wait_until_delivered(pair)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
-    await settle(pair)
-    recorder.end("caller gone")
+    await wait_until_delivered(pair)
+    recorder.end_step("caller gone")
     await pair.b.peer_pool.close()
-    recorder.end("closing")
+    recorder.end_step("closing")
 
 
 async def test_a_whole_session(
@@ -158,8 +158,8 @@
 ) -> None:
     monkeypatch.setattr(stream_module, "IDLE_PROBE_AFTER_SECONDS", -1.0)
     recorder = Recorder()
-    pair.relay.hook = recorder
-    fill_backends(pair)
+    pair.interceptor.hook = recorder
+    register_handlers(pair)
     await run_session(pair, recorder)
     text = "\n".join(recorder.lines)
     if os.environ.get("UPDATE_GOLDEN"):
--- a/packages/jackdawcrank-proxy/tests/peers/test_peer_server.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_peer_server.py
@@ -22,10 +22,10 @@
 )
 
 CODEC = MsgpackCodec()
-Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-async def connect(pair: typing.Any) -> Ends:
+async def connect(pair: typing.Any) -> Connection:
     return await asyncio.open_connection("127.0.0.1", pair.b.server.port)
 
 
@@ -37,15 +37,15 @@
         return b""
 
 
-async def check_served(pair: typing.Any) -> None:
-    assert isinstance(await pair.a.ask("vm-b", b"one"), Answer)
+async def assert_served(pair: typing.Any) -> None:
+    assert isinstance(await pair.a.execute("vm-b", b"one"), Answer)
 
 
 RNG = random.Random(1)
 
 
 @pytest.mark.parametrize(
-    "junk",
+    "payload",
     [
         pytest.param(b"GET / HTTP/1.1\r\n\r\n", id="HTTP"),
         pytest.param(b"\x00\x00\x00\x00", id="empty frame"),
@@ -59,18 +59,18 @@
     ],
 )
 async def test_garbage_closes_the_connection(
-    pair: typing.Any, junk: bytes, monkeypatch: pytest.MonkeyPatch
+    pair: typing.Any, payload: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(handshake_module, "HANDSHAKE_TIMEOUT_SECONDS", 60.0)
     reader, writer = await connect(pair)
-    writer.write(junk)
+    writer.write(payload)
     await read_to_end(reader)
     writer.close()
     assert pair.b.server.refused == 1
-    await check_served(pair)
+    await assert_served(pair)
 
 
-async def test_a_connection_that_says_nothing_is_closed(
+async def test_a_connection_that_sends_nothing_is_closed(
     pair: typing.Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(handshake_module, "HANDSHAKE_TIMEOUT_SECONDS", 0.03)
@@ -78,10 +78,10 @@
     await read_to_end(reader)
     writer.close()
     assert pair.b.server.refused == 1
-    await check_served(pair)
+    await assert_served(pair)
 
 
-async def test_handshakes_at_once_are_bounded(
+async def test_concurrent_handshakes_are_limited(
     pair: typing.Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server_module, "MAX_HANDSHAKES", 1)
@@ -94,24 +94,24 @@
 
 
 async def test_a_wrong_secret_reaches_no_handler(pair: typing.Any) -> None:
-    stranger = await pair.add("vm-s", secret=b"another secret")
+    untrusted = await pair.add("vm-s", secret=b"another secret")
     address = ("127.0.0.1", pair.b.server.port)
-    stranger.peer_pool.set_addresses({"vm-b": address})
-    answer = await stranger.ask("vm-b", b"one")
+    untrusted.peer_pool.set_addresses({"vm-b": address})
+    answer = await untrusted.execute("vm-b", b"one")
     assert isinstance(answer, PeerUnreachable)
     assert not answer.sent
-    assert pair.b.backend.seen == []
-    await check_served(pair)
+    assert pair.b.stub_handler.seen == []
+    await assert_served(pair)
 
 
-async def test_an_acceptor_without_the_secret_learns_no_statement(
+async def test_an_acceptor_without_the_secret_receives_no_statement(
     pair: typing.Any,
 ) -> None:
-    stranger = await pair.add("vm-s", secret=b"another secret")
+    untrusted = await pair.add("vm-s", secret=b"another secret")
     pair.a.peer_pool.set_addresses(
-        {"vm-s": ("127.0.0.1", stranger.server.port)}
+        {"vm-s": ("127.0.0.1", untrusted.server.port)}
     )
-    answer = await pair.a.ask("vm-s", b"one")
+    answer = await pair.a.execute("vm-s", b"one")
     assert isinstance(answer, PeerUnreachable)
     assert not answer.sent
 
@@ -130,7 +130,7 @@
     return received
 
 
-async def test_a_recorded_session_cannot_be_played_again(
+async def test_a_recorded_session_cannot_be_replayed(
     pair: typing.Any,
 ) -> None:
     recorded: list[Message] = []
@@ -140,11 +140,11 @@
             recorded.append(message)
         return [message]
 
-    pair.relay.hook = record
-    await check_served(pair)
+    pair.interceptor.hook = record
+    await assert_served(pair)
     received = await send_as_dialer(pair, recorded)
     assert [type(message) for message in received] == [Challenge]
-    assert pair.b.backend.seen == [b"one"]
+    assert pair.b.stub_handler.seen == [b"one"]
 
 
 @pytest.mark.parametrize(
@@ -156,19 +156,19 @@
         pytest.param(Proof("vm-a", "1", b"n" * 32, b""), id="no digest"),
     ],
 )
-async def test_nothing_is_handled_before_the_proof(
+async def test_no_message_is_handled_before_authentication(
     pair: typing.Any, message: Message
 ) -> None:
     received = await send_as_dialer(pair, [message])
     assert [type(answer) for answer in received] == [Challenge]
-    assert pair.b.backend.seen == []
+    assert pair.b.stub_handler.seen == []
 
 
-async def test_a_handshake_message_after_the_proof_ends_the_stream(
+async def test_a_handshake_message_after_authentication_ends_the_stream(
     pair: typing.Any, eventually: typing.Any
 ) -> None:
-    await check_served(pair)
+    await assert_served(pair)
     stream = pair.a.peer_pool.streams["vm-b"]
     stream.post(Challenge(b"n" * 32))
     await eventually(lambda: stream.lost)
-    await check_served(pair)
+    await assert_served(pair)
--- a/packages/jackdawcrank-proxy/tests/peers/test_pending_requests.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_pending_requests.py
@@ -31,7 +31,7 @@
     assert not request.first.result().sent
 
 
-async def test_what_belongs_to_no_request_is_dropped() -> None:
+async def test_messages_without_a_pending_request_are_dropped() -> None:
     requests = PendingRequests("vm-b")
     request = requests.add(1, Execute)
     assert requests.resolve(Answer(2, ResultOk()))
--- a/packages/jackdawcrank-proxy/tests/peers/test_small_parts.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_small_parts.py
@@ -24,7 +24,7 @@
     assert backoff.allows(0.0)
 
 
-def test_silence_is_answered_with_pings_and_then_given_up() -> None:
+def test_a_silent_peer_is_pinged_and_then_disconnected() -> None:
     liveness = Liveness()
     actions = [liveness.tick() for _ in range(7)]
     assert actions[0] is LivenessAction.NONE
@@ -45,7 +45,7 @@
 
 
 @given(rows=ROWS, size=st.integers(1, 500))
-def test_parts_are_bounded_and_join_to_the_rows(
+def test_chunks_are_limited_in_size_and_join_to_the_rows(
     rows: tuple[tuple[bytes | None, ...], ...], size: int
 ) -> None:
     parts = list(split_rows(rows, size))
