--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/chunk_sender.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/chunk_sender.py
@@ -48,37 +48,41 @@
         """
         result = answer.first.result
         assert isinstance(result, ResultRows)
-        parts = split_rows(result.rows)
-        head = attrs.evolve(result, rows=next(parts, ()), complete=False)
+        row_chunks = split_rows(result.rows)
+        head = attrs.evolve(result, rows=next(row_chunks, ()), complete=False)
         if not await self.message_writer.send(Answer(self.number, head)):
             return False
         self.row_count = len(head.rows)
-        if not await self.send_parts(parts):
+        if not await self.send_chunks(row_chunks):
             return False
         async for rows in answer.chunks:
             if isinstance(rows, ResultError):
-                return await self.end(rows)
-            if not await self.send_parts(split_rows(rows)):
+                return await self.send_end(rows)
+            if not await self.send_chunks(split_rows(rows)):
                 return False
-        return await self.end(None)
+        return await self.send_end(None)
 
-    async def send_parts(self, parts: collections.abc.Iterable[Rows]) -> bool:
+    async def send_chunks(
+        self, row_chunks: collections.abc.Iterable[Rows]
+    ) -> bool:
         """Send parts as the receiver allows them.
 
         Args:
-          parts: The rows.
+          row_chunks: The rows of each chunk.
 
         Returns:
           False if a part could not be sent.
         """
-        for part in parts:
+        for chunk in row_chunks:
             await self.credit.acquire()
-            if not await self.message_writer.send(RowsChunk(self.number, part)):
+            if not await self.message_writer.send(
+                RowsChunk(self.number, chunk)
+            ):
                 return False
-            self.row_count += len(part)
+            self.row_count += len(chunk)
         return True
 
-    async def end(self, error: ResultError | None) -> bool:
+    async def send_end(self, error: ResultError | None) -> bool:
         """Send the end of a result.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/incoming_requests.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/incoming_requests.py
@@ -166,17 +166,19 @@
           answer: The answer; its own request number is not looked at.
         """
         if is_large(answer):
-            answer = StreamedResult(answer, no_more_rows())
+            answer = StreamedResult(answer, empty_rows())
         if isinstance(answer, StreamedResult):
-            await self.send_parts(number, answer)
+            await self.send_chunks(number, answer)
         elif isinstance(answer, RequestAnswer):
-            await self.send_whole(attrs.evolve(answer, request_number=number))
+            await self.send_in_one_message(
+                attrs.evolve(answer, request_number=number)
+            )
         else:
             self.message_writer.post(
                 RequestFailed(number, "the handler has no answer")
             )
 
-    async def send_whole(self, answer: RequestAnswer) -> None:
+    async def send_in_one_message(self, answer: RequestAnswer) -> None:
         """Send an answer in one piece.
 
         Args:
@@ -187,7 +189,7 @@
                 RequestFailed(answer.request_number, TOO_LARGE)
             )
 
-    async def send_parts(self, number: int, answer: StreamedResult) -> None:
+    async def send_chunks(self, number: int, answer: StreamedResult) -> None:
         """Send an answer in parts.
 
         Args:
@@ -239,8 +241,8 @@
     return sum(map(row_size, answer.result.rows)) > CHUNK_BYTES
 
 
-async def no_more_rows() -> collections.abc.AsyncIterator[Rows]:
+async def empty_rows() -> collections.abc.AsyncIterator[Rows]:
     """Yield nothing."""
-    nothing: tuple[Rows, ...] = ()
-    for rows in nothing:
+    no_rows: tuple[Rows, ...] = ()
+    for rows in no_rows:
         yield rows
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/split_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/split_rows.py
@@ -28,13 +28,13 @@
       rows: The rows.
       chunk_bytes: The size in bytes above which a new part begins.
     """
-    part: list[Row] = []
+    chunk: list[Row] = []
     size = 0
     for row in rows:
-        if part and size + row_size(row) > chunk_bytes:
-            yield tuple(part)
-            part, size = [], 0
-        part.append(row)
+        if chunk and size + row_size(row) > chunk_bytes:
+            yield tuple(chunk)
+            chunk, size = [], 0
+        chunk.append(row)
         size += row_size(row)
-    if part:
-        yield tuple(part)
+    if chunk:
+        yield tuple(chunk)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/streamed_answer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/streamed_answer.py
@@ -113,8 +113,10 @@
         if self.end.error is not None:
             return attrs.evolve(self.first, result=self.end.error)
         assert isinstance(self.first.result, ResultRows)
-        whole = attrs.evolve(self.first.result, rows=rows, complete=True)
-        return attrs.evolve(self.first, result=whole)
+        complete_result = attrs.evolve(
+            self.first.result, rows=rows, complete=True
+        )
+        return attrs.evolve(self.first, result=complete_result)
 
 
 def first_rows(first: Answer) -> Rows:
--- a/packages/jackdawcrank-proxy/tests/peers/test_peer_stream_pool.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_peer_stream_pool.py
@@ -394,11 +394,11 @@
 
 async def test_a_large_result_arrives_complete(pair: typing.Any) -> None:
     rows = (ROW,) * 500
-    whole = ResultRows(COLUMNS, rows)
-    pair.b.stub_handler.answers[b"big"] = Answer(0, whole)
+    complete_result = ResultRows(COLUMNS, rows)
+    pair.b.stub_handler.answers[b"big"] = Answer(0, complete_result)
     answer = await pair.a.execute("vm-b", b"big", timeout=10.0)
     assert isinstance(answer, Answer)
-    assert answer.result == whole
+    assert answer.result == complete_result
 
 
 async def open_large_result(pair: typing.Any) -> StreamedAnswer:
--- a/packages/jackdawcrank-proxy/tests/peers/test_small_parts.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_small_parts.py
@@ -48,10 +48,10 @@
 def test_chunks_are_limited_in_size_and_join_to_the_rows(
     rows: tuple[tuple[bytes | None, ...], ...], size: int
 ) -> None:
-    parts = list(split_rows(rows, size))
-    assert sum(parts, ()) == rows
-    for part in parts:
-        assert len(part) == 1 or sum(map(row_size, part)) <= size
+    chunks = list(split_rows(rows, size))
+    assert sum(chunks, ()) == rows
+    for chunk in chunks:
+        assert len(chunk) == 1 or sum(map(row_size, chunk)) <= size
 
 
 def test_every_field_changes_the_digest() -> None:
