--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Streams between proxies."""
+"""Multiplexed request streams between proxies."""
 
 from jackdawcrank.peers.peer_handlers import (
     PeerAnswer,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/backoff.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/backoff.py
@@ -1,4 +1,4 @@
-"""The pause between attempts to reach a peer."""
+"""Exponential backoff between connection attempts to a peer."""
 
 import random
 
@@ -10,12 +10,13 @@
 
 @attrs.define
 class Backoff:
-    """Doubles the pause after each failure, with jitter.
+    """Doubles the delay after each failure, with jitter.
 
     Attributes:
-      rng: Where the jitter comes from.
-      failures: The failures since the last success.
-      next_attempt_at: When the next attempt is allowed.
+      rng: The source of the jitter.
+      failures: The number of failures since the last success.
+      next_attempt_at: The earliest time of the next attempt, in seconds on a
+        monotonic clock.
     """
 
     rng: random.Random
@@ -23,7 +24,7 @@
     next_attempt_at: float = 0.0
 
     def allows(self, now: float) -> bool:
-        """Return whether an attempt may be made.
+        """Return whether an attempt is allowed.
 
         Args:
           now: Seconds on a monotonic clock.
@@ -31,7 +32,7 @@
         return now >= self.next_attempt_at
 
     def record_failure(self, now: float) -> None:
-        """Note a failed attempt.
+        """Record a failed attempt.
 
         Args:
           now: Seconds on a monotonic clock.
@@ -42,6 +43,6 @@
         self.next_attempt_at = now + delay * self.rng.uniform(0.5, 1.0)
 
     def record_success(self) -> None:
-        """Note a successful attempt."""
+        """Record a successful attempt and reset the delay."""
         self.failures = 0
         self.next_attempt_at = 0.0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/chunk_sender.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/chunk_sender.py
@@ -1,4 +1,4 @@
-"""Sending of one large result."""
+"""Flow-controlled sending of one large result."""
 
 import asyncio
 import collections.abc
@@ -20,7 +20,10 @@
 
 
 class ChunkSender:
-    """Sends a result in parts, no faster than its receiver reads them."""
+    """Sends a result in chunks, as fast as the receiver grants credit.
+
+    At most `WINDOW_CHUNKS` chunks are unread by the receiver at any time.
+    """
 
     def __init__(self, number: int, message_writer: MessageWriter) -> None:
         self.number = number
@@ -29,22 +32,22 @@
         self.credit = asyncio.Semaphore(WINDOW_CHUNKS)
 
     def add_credit(self, chunks: int) -> None:
-        """Allow more parts to be sent.
+        """Allow more chunks to be sent.
 
         Args:
-          chunks: How many.
+          chunks: The number of further chunks.
         """
         for _ in range(min(chunks, WINDOW_CHUNKS)):
             self.credit.release()
 
     async def send(self, answer: StreamedResult) -> bool:
-        """Send a result and its end.
+        """Send all chunks of a result and its end.
 
         Args:
-          answer: The first part and the way to the others.
+          answer: The first chunk and an iterator of the others.
 
         Returns:
-          False if a part could not be sent.
+          False if a chunk could not be sent.
         """
         result = answer.first.result
         assert isinstance(result, ResultRows)
@@ -65,13 +68,13 @@
     async def send_chunks(
         self, row_chunks: collections.abc.Iterable[Rows]
     ) -> bool:
-        """Send parts as the receiver allows them.
+        """Send chunks, waiting for credit before each.
 
         Args:
           row_chunks: The rows of each chunk.
 
         Returns:
-          False if a part could not be sent.
+          False if a chunk could not be sent.
         """
         for chunk in row_chunks:
             await self.credit.acquire()
@@ -86,7 +89,8 @@
         """Send the end of a result.
 
         Args:
-          error: Why it broke off; None if it is whole.
+          error: The error that ended the result early; None if the result is
+            complete.
 
         Returns:
           False if it could not be sent.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/connector.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/connector.py
@@ -1,4 +1,4 @@
-"""Opening of connections to peers."""
+"""Establishment of authenticated connections to peers."""
 
 import asyncio
 import collections.abc
@@ -24,7 +24,7 @@
 
 
 class Connector:
-    """Makes proven connections, dialed or accepted."""
+    """Authenticates connections that are dialed or accepted."""
 
     def __init__(
         self, identity: PeerIdentity, codec: Codec, nonce_source: NonceSource
@@ -36,18 +36,18 @@
     async def dial(
         self, vm: str, host: str, port: int
     ) -> PeerConnection | HandshakeFailed:
-        """Connect to a VM.
+        """Connect to a VM and run the handshake.
 
         Args:
           vm: The VM.
-          host: Its IP address.
-          port: Its peer port.
+          host: The IP address of the VM.
+          port: The peer port of the VM.
         """
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 streams = await asyncio.open_connection(host, port)
         except (TimeoutError, OSError) as error:
-            return HandshakeFailed(f"no connection: {type(error).__name__}")
+            return HandshakeFailed(f"connection failed: {type(error).__name__}")
         return await self.authenticate(
             *streams, lambda handshake: handshake.dial(vm), True
         )
@@ -55,7 +55,7 @@
     async def accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> PeerConnection | HandshakeFailed:
-        """Prove a connection that was accepted.
+        """Run the handshake on an accepted connection.
 
         Args:
           reader: The connection's reader.
@@ -72,12 +72,12 @@
         run: RunHandshake,
         dialed: bool,
     ) -> PeerConnection | HandshakeFailed:
-        """Run the handshake; the connection is closed if it fails.
+        """Run the handshake, and abort the connection if it fails.
 
         Args:
           reader: The connection's reader.
           writer: The connection's writer.
-          run: Runs this end's side.
+          run: Runs the handshake as this end's role requires.
           dialed: Whether this end opened the connection.
         """
         frame_reader = FrameReader(reader)
@@ -89,7 +89,9 @@
             self.codec,
             self.nonce_source,
         )
-        peer: AuthenticatedPeer | HandshakeFailed = HandshakeFailed("cancelled")
+        peer: AuthenticatedPeer | HandshakeFailed = HandshakeFailed(
+            "handshake cancelled"
+        )
         with contextlib.ExitStack() as stack:
             stack.callback(frame_writer.abort)
             peer = await run(handshake)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/handshake.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/handshake.py
@@ -1,4 +1,4 @@
-"""The proof of the shared secret at the start of a connection."""
+"""Mutual authentication by shared secret at the start of a connection."""
 
 import asyncio
 import collections.abc
@@ -20,10 +20,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class HandshakeFailed:
-    """Says why a connection was not accepted.
+    """Reports why a connection was rejected.
 
     Attributes:
-      detail: What was wrong.
+      detail: What went wrong.
     """
 
     detail: str
@@ -31,11 +31,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class AuthenticatedPeer:
-    """The other end of a connection, proven to know the secret.
+    """The other end of a connection, which has proven to know the secret.
 
     Attributes:
-      vm: Its VM.
-      boot: The id of its process.
+      vm: The peer's VM.
+      boot: The id of the peer's process.
     """
 
     vm: str
@@ -43,10 +43,11 @@
 
 
 class Handshake:
-    """Proves both ends of a new connection to each other.
+    """Authenticates both ends of a new connection to each other.
 
-    No other message is read before the proof, frames are short and the whole
-    exchange has one deadline, so that a stranger can hold little.
+    To limit the resources that an unauthenticated client can occupy, no other
+    message is read before the proof, frames are limited to
+    `MAX_HANDSHAKE_FRAME_BYTES` and one timeout covers the whole exchange.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         self.nonce = nonce_source(NONCE_BYTES)
 
     async def accept(self) -> AuthenticatedPeer | HandshakeFailed:
-        """Challenge the dialing end and prove this end to it."""
+        """Challenge the dialing end and send it this end's proof."""
         return await self.within_deadline(self.run_acceptor())
 
     async def dial(
@@ -73,8 +74,8 @@
         """Answer the accepting end's challenge and check its proof.
 
         Args:
-          expected_vm: The VM that should be at the other end; an address may
-            by now belong to another one.
+          expected_vm: The VM that should be at the other end. The address may
+            have been reassigned to another VM.
         """
         return await self.within_deadline(self.run_dialer(expected_vm))
 
@@ -84,10 +85,12 @@
             None, None, AuthenticatedPeer | HandshakeFailed
         ],
     ) -> AuthenticatedPeer | HandshakeFailed:
-        """Return the result of an exchange, or a failure after the deadline.
+        """Return the result of an exchange, or a failure after a timeout.
+
+        The frame size is limited while the exchange runs.
 
         Args:
-          exchange: The exchange.
+          exchange: This end's side of the handshake.
         """
         frame_bytes = self.reader.max_frame_bytes
         self.reader.max_frame_bytes = MAX_HANDSHAKE_FRAME_BYTES
@@ -95,20 +98,20 @@
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_SECONDS):
                 return await exchange
         except TimeoutError:
-            return HandshakeFailed("the handshake took too long")
+            return HandshakeFailed("handshake timed out")
         finally:
             self.reader.max_frame_bytes = frame_bytes
 
     async def run_acceptor(self) -> AuthenticatedPeer | HandshakeFailed:
-        """Run the accepting end's side."""
+        """Run the accepting end's side of the handshake."""
         self.send(Challenge(self.nonce))
         proof = await self.receive()
         if not isinstance(proof, Proof):
-            return HandshakeFailed("no proof")
+            return HandshakeFailed("expected a proof message")
         if len(proof.nonce) != NONCE_BYTES:
-            return HandshakeFailed("a nonce of a wrong length")
+            return HandshakeFailed("nonce has the wrong length")
         if not self.is_valid(proof, ProofRole.DIALER, self.nonce, proof.nonce):
-            return HandshakeFailed("the proof is wrong")
+            return HandshakeFailed("proof does not match the shared secret")
         digest = proof_digest(
             self.identity.secret,
             ProofRole.ACCEPTOR,
@@ -124,16 +127,16 @@
     async def run_dialer(
         self, expected_vm: str
     ) -> AuthenticatedPeer | HandshakeFailed:
-        """Run the dialing end's side.
+        """Run the dialing end's side of the handshake.
 
         Args:
           expected_vm: The VM that should be at the other end.
         """
         challenge = await self.receive()
         if not isinstance(challenge, Challenge):
-            return HandshakeFailed("no challenge")
+            return HandshakeFailed("expected a challenge message")
         if len(challenge.nonce) != NONCE_BYTES:
-            return HandshakeFailed("a nonce of a wrong length")
+            return HandshakeFailed("nonce has the wrong length")
         digest = proof_digest(
             self.identity.secret,
             ProofRole.DIALER,
@@ -148,11 +151,13 @@
         )
         proof = await self.receive()
         if not isinstance(proof, Proof) or proof.vm != expected_vm:
-            return HandshakeFailed(f"{expected_vm} is not at the other end")
+            return HandshakeFailed(
+                f"the other end did not identify as {expected_vm}"
+            )
         if not self.is_valid(
             proof, ProofRole.ACCEPTOR, challenge.nonce, self.nonce
         ):
-            return HandshakeFailed("the proof is wrong")
+            return HandshakeFailed("proof does not match the shared secret")
         return AuthenticatedPeer(proof.vm, proof.boot)
 
     def is_valid(
@@ -162,13 +167,13 @@
         acceptor_nonce: bytes,
         dialer_nonce: bytes,
     ) -> bool:
-        """Return whether the other end's proof is right.
+        """Return whether the other end's proof is valid.
 
         Args:
           proof: The proof.
           role: The other end's role.
-          acceptor_nonce: The accepting end's random bytes.
-          dialer_nonce: The dialing end's random bytes.
+          acceptor_nonce: The accepting end's nonce.
+          dialer_nonce: The dialing end's nonce.
         """
         expected = proof_digest(
             self.identity.secret,
@@ -182,7 +187,7 @@
         return hmac.compare_digest(expected, proof.digest)
 
     def send(self, message: Message) -> None:
-        """Hand a message to the connection.
+        """Write a message to the connection.
 
         Args:
           message: The message.
@@ -190,7 +195,7 @@
         self.writer.write(self.codec.encode(message))
 
     async def receive(self) -> Message | Malformed | StreamEnd:
-        """Return the other end's next message."""
+        """Return the next message, or why there is none."""
         frame = await self.reader.read()
         if isinstance(frame, StreamEnd):
             return frame
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/incoming_requests.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/incoming_requests.py
@@ -1,4 +1,4 @@
-"""The requests of a peer that are being handled."""
+"""Handling of the requests that a peer sends."""
 
 import asyncio
 import collections.abc
@@ -33,7 +33,7 @@
 
 
 class IncomingRequests:
-    """Runs the handlers of one stream's messages, each in a task."""
+    """Runs the handlers of one stream's messages, each in its own task."""
 
     def __init__(
         self, vm: str, handlers: PeerHandlers, message_writer: MessageWriter
@@ -67,13 +67,14 @@
     def start_notification(
         self, message: Message, handler: PeerHandler
     ) -> None:
-        """Start the handler of a message that has no answer.
+        """Start the handler of a message that expects no answer.
 
-        Such messages are hints; beyond the bound they are dropped.
+        Such messages are only hints, so they are dropped while `MAX_INCOMING`
+        of them are being handled.
 
         Args:
           message: The message.
-          handler: Its handler.
+          handler: The handler of its type.
         """
         if len(self.notifications) >= MAX_INCOMING:
             return
@@ -82,25 +83,26 @@
         task.add_done_callback(self.finish_notification)
 
     def finish_notification(self, task: asyncio.Task[PeerAnswer]) -> None:
-        """Forget a handler and log what it raised.
+        """Remove a finished handler and log any exception that it raised.
 
         Args:
           task: The handler's task.
         """
         self.notifications.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            logging.error("peer handler failed", exc_info=error)
+            logging.error("handler of a peer message failed", exc_info=error)
 
     def start_request(
         self, request: Request, handler: PeerHandler | None
     ) -> None:
         """Start the handler of a request, or refuse it.
 
-        A number that is not above the last one is a duplicate and dropped.
+        A request whose number is not above the last one is a duplicate and is
+        dropped.
 
         Args:
           request: The request.
-          handler: Its handler, if there is one.
+          handler: The handler of its type, or None if there is none.
         """
         number = request.request_number
         if number <= self.last_number:
@@ -119,11 +121,11 @@
             task.add_done_callback(lambda _: self.finish_request(number))
 
     def refuse(self, request: Request, reason: RefusalReason) -> None:
-        """Say that no handler sees a request.
+        """Tell the peer that a request was not passed to any handler.
 
         Args:
           request: The request.
-          reason: Why.
+          reason: Why it was refused.
         """
         number = MESSAGE_NUMBERS[type(request)]
         self.message_writer.post(
@@ -135,20 +137,20 @@
 
         Args:
           request: The request.
-          handler: Its handler.
+          handler: The handler of its type.
         """
         number = request.request_number
         try:
             answer = await handler(self.vm, request)
             await self.send_answer(number, answer)
         except Exception:
-            logging.exception("peer handler failed")
+            logging.exception("handler of a peer request failed")
             self.message_writer.post(
                 RequestFailed(number, "the handler failed")
             )
 
     def finish_request(self, number: int) -> None:
-        """Forget a request that was answered or cancelled.
+        """Remove a request that was answered or cancelled.
 
         Args:
           number: The request's number.
@@ -159,11 +161,11 @@
             self.idle.set()
 
     async def send_answer(self, number: int, answer: PeerAnswer) -> None:
-        """Send an answer, in parts if it is large.
+        """Send an answer, in chunks if it is large.
 
         Args:
           number: The request's number.
-          answer: The answer; its own request number is not looked at.
+          answer: The answer; its own request number is ignored.
         """
         if is_large(answer):
             answer = StreamedResult(answer, empty_rows())
@@ -179,7 +181,7 @@
             )
 
     async def send_in_one_message(self, answer: RequestAnswer) -> None:
-        """Send an answer in one piece.
+        """Send an answer as one message.
 
         Args:
           answer: The answer.
@@ -190,7 +192,7 @@
             )
 
     async def send_chunks(self, number: int, answer: StreamedResult) -> None:
-        """Send an answer in parts.
+        """Send an answer in chunks.
 
         Args:
           number: The request's number.
@@ -202,17 +204,17 @@
             self.message_writer.post(RequestFailed(number, TOO_LARGE))
 
     def add_credit(self, number: int, chunks: int) -> None:
-        """Allow more parts of an answer to be sent.
+        """Allow more chunks of an answer to be sent.
 
         Args:
           number: The request's number.
-          chunks: How many.
+          chunks: The number of further chunks.
         """
         if number in self.senders:
             self.senders[number].add_credit(chunks)
 
     def cancel(self, number: int) -> None:
-        """Cancel the handler of a request that nobody waits for.
+        """Cancel the handler of a request that the peer has cancelled.
 
         Args:
           number: The request's number.
@@ -221,7 +223,7 @@
             self.by_number[number].cancel()
 
     async def close(self) -> None:
-        """Cancel every handler and wait until they have ended."""
+        """Cancel all handlers and wait until they have ended."""
         tasks = [*self.by_number.values(), *self.notifications]
         for task in tasks:
             task.cancel()
@@ -229,7 +231,7 @@
 
 
 def is_large(answer: PeerAnswer) -> typing.TypeGuard[Answer]:
-    """Return whether an answer is sent in parts.
+    """Return whether an answer has to be sent in chunks.
 
     Args:
       answer: The answer.
@@ -242,7 +244,7 @@
 
 
 async def empty_rows() -> collections.abc.AsyncIterator[Rows]:
-    """Yield nothing."""
+    """Return an iterator without rows."""
     no_rows: tuple[Rows, ...] = ()
     for rows in no_rows:
         yield rows
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/liveness.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/liveness.py
@@ -1,4 +1,4 @@
-"""Detection of streams that went silent."""
+"""Detection of peers that stopped responding."""
 
 import enum
 
@@ -10,7 +10,7 @@
 
 
 class LivenessAction(enum.Enum):
-    """What a stream has to do after a tick."""
+    """The action that a stream takes after a tick."""
 
     NONE = enum.auto()
     PING = enum.auto()
@@ -18,21 +18,21 @@
 
 
 class Liveness:
-    """Counts the ticks in which nothing was heard of a peer.
+    """Counts the ticks since the last frame from a peer.
 
     Ticks are counted rather than seconds, so that a pause of this process
-    is not taken for a silence of the peer.
+    does not count as silence of the peer.
     """
 
     def __init__(self) -> None:
         self.silent_ticks = 0
 
     def record_frame(self) -> None:
-        """Note that a frame came in."""
+        """Record that a frame was received."""
         self.silent_ticks = 0
 
     def tick(self) -> LivenessAction:
-        """Return what to do, `TICK_INTERVAL_SECONDS` after the last call."""
+        """Count a tick of `TICK_INTERVAL_SECONDS` and return the action."""
         self.silent_ticks += 1
         if self.silent_ticks >= TIMEOUT_TICKS:
             return LivenessAction.DISCONNECT
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_connection.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_connection.py
@@ -1,4 +1,4 @@
-"""A connection whose two ends have proven themselves."""
+"""A connection whose two ends are authenticated."""
 
 import attrs
 
@@ -9,14 +9,14 @@
 
 @attrs.frozen
 class PeerConnection:
-    """What a stream runs on.
+    """An authenticated connection that carries a stream.
 
     Attributes:
-      local_vm: This VM.
-      peer: The other end.
-      reader: Reads the other end's frames.
-      writer: Writes this end's frames.
-      codec: Encodes messages.
+      local_vm: The VM of this end.
+      peer: The identity of the other end.
+      reader: Reads frames from the connection.
+      writer: Writes frames to the connection.
+      codec: Encodes and decodes messages.
       dialed: Whether this end opened the connection.
     """
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_handlers.py
@@ -1,4 +1,4 @@
-"""The handlers of messages that peers send."""
+"""Registry of the handlers of peers' messages."""
 
 import collections.abc
 import typing
@@ -13,12 +13,12 @@
 
 
 class PeerHandlers:
-    """Finds the handler of a message by its type.
+    """Maps message types to handlers.
 
-    A handler is called with the VM that sent the message and the message. It
-    returns the answer to a request, whose request number the stream fills in,
-    and None for a message that has no answer. It is cancelled when the sender
-    is lost or no longer waits.
+    A handler is called with the sending VM and the message. It returns the
+    answer to a request, whose request number the stream fills in, or None for
+    a message that expects no answer. It is cancelled when the stream is lost
+    or the sender cancels the request.
     """
 
     def __init__(self) -> None:
@@ -30,15 +30,15 @@
         """Set the handler of a message type.
 
         Args:
-          message_type: The type.
+          message_type: The message type.
           handler: Called for each message of the type.
         """
         self.by_type[message_type] = handler
 
     def find(self, message_type: type[Message]) -> PeerHandler | None:
-        """Return the handler of a message type, if there is one.
+        """Return the handler of a message type, or None.
 
         Args:
-          message_type: The type.
+          message_type: The message type.
         """
         return self.by_type.get(message_type)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_identity.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_identity.py
@@ -1,15 +1,15 @@
-"""Who one end of a stream is."""
+"""The identity of a proxy towards its peers."""
 
 import attrs
 
 
 @attrs.frozen
 class PeerIdentity:
-    """What a proxy proves to its peers.
+    """The identity that a proxy proves in the handshake.
 
     Attributes:
-      vm: Its VM.
-      boot: The id of its process, new at each start.
+      vm: The VM of the proxy.
+      boot: The id of the proxy's process, new at each start.
       secret: The secret that all proxies share.
     """
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_server.py
@@ -1,4 +1,4 @@
-"""The port that other proxies connect to."""
+"""Server for the connections of other proxies."""
 
 import asyncio
 
@@ -12,7 +12,11 @@
 
 
 class PeerServer:
-    """Accepts streams of peers that prove the shared secret."""
+    """Accepts connections and runs streams for authenticated peers.
+
+    Attributes:
+      refused: The number of connections that were refused.
+    """
 
     def __init__(
         self,
@@ -27,14 +31,15 @@
         """Create the server; `start` opens the port.
 
         Args:
-          host: The IP address to listen at.
-          port: The TCP port; 0 takes a free one.
+          host: The IP address to listen on.
+          port: The TCP port; 0 selects a free one.
           secret: The secret that all proxies share.
           vm: This VM.
           boot: The id of this process.
           handlers: The handlers of the peers' messages.
-          peer_pool: Takes accepted streams over, so that one stream carries both
-            ends' requests; left out, accepted streams serve the peer only.
+          peer_pool: The pool that accepted streams are added to, so that one
+            stream carries both ends' requests. If omitted, accepted streams
+            carry only the peer's requests.
         """
         self.host = host
         self.port = port
@@ -45,7 +50,7 @@
         self.refused = 0
 
     async def start(self) -> None:
-        """Open the port; `port` then holds the number."""
+        """Open the port and set `port` to its number."""
         self.server = await asyncio.start_server(
             self.on_connection, self.host, self.port
         )
@@ -54,7 +59,9 @@
     def on_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Begin the handshake of a connection, unless too many are going on.
+        """Start the handshake of a connection, or refuse the connection.
+
+        At most `MAX_HANDSHAKES` handshakes run at a time.
 
         Args:
           reader: The connection's reader.
@@ -71,7 +78,7 @@
     async def handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Run a connection's stream if its other end proves itself.
+        """Run the handshake, and add a stream to the pool if it succeeds.
 
         Args:
           reader: The connection's reader.
@@ -85,7 +92,7 @@
         await self.peer_pool.add_connection(connection)
 
     async def close(self) -> None:
-        """Close the port and, if they are its own, the streams."""
+        """Close the port, and the pool unless it was passed in."""
         if self.server:
             self.server.close()
         for task in list(self.handshakes):
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream.py
@@ -43,13 +43,14 @@
 class PeerStream:
     """Carries requests and answers of both ends over one connection.
 
-    Each request has a number, and answers come in any order. While anything
-    is outstanding in either direction, or the peer is watched for another
-    reason, a silent peer is pinged and given up in less than two seconds; an
-    idle stream costs nothing. The first message
-    after a longer pause is sent only once the peer has answered a ping, since
-    a connection that went silent while idle would leave the outcome of a
-    request unknown.
+    Each request has a number, and answers may arrive in any order. While a
+    request is outstanding in either direction, or the peer is monitored for
+    another reason, a silent peer is pinged and then disconnected within two
+    seconds. An idle stream runs no timer and sends nothing. After
+    `IDLE_PROBE_AFTER_SECONDS` without a frame from the peer, the next request
+    or notification is sent only once the peer has answered a ping: if the
+    connection broke while it was idle, sending a request on it would leave the
+    outcome of that request unknown.
     """
 
     def __init__(
@@ -79,22 +80,22 @@
 
     @property
     def usable(self) -> bool:
-        """Return whether the stream takes new requests."""
+        """Return whether the stream accepts new requests."""
         return not (self.lost or self.is_closing)
 
     @property
     def is_closing(self) -> bool:
-        """Return whether either end has said that it closes the stream."""
+        """Return whether either end has announced that it closes the stream."""
         return self.peer_closing or self.incoming.closing
 
     @property
     def busy(self) -> bool:
-        """Return whether silence of the peer would matter now."""
+        """Return whether requests or the monitoring need a live peer."""
         outstanding = len(self.pending) or len(self.incoming)
         return bool(outstanding) or self.is_monitored(self.vm)
 
     async def start(self) -> None:
-        """Begin to read the peer's messages."""
+        """Start reading the peer's messages."""
         self.read_task = asyncio.create_task(self.read_frames())
 
     async def request(self, message: Request, deadline: float) -> PeerReply:
@@ -102,7 +103,7 @@
 
         Args:
           message: The request; its number is filled in.
-          deadline: When to give up, on the event loop's clock.
+          deadline: The deadline, in seconds on the event loop's clock.
         """
         pending = await self.send_request(message, deadline)
         if isinstance(pending, PeerUnreachable):
@@ -123,11 +124,11 @@
     async def send_request(
         self, message: Request, deadline: float
     ) -> PendingRequest | PeerUnreachable:
-        """Hand a request to the connection.
+        """Write a request to the connection.
 
         Args:
-          message: The request.
-          deadline: When to give up, on the event loop's clock.
+          message: The request; its number is filled in.
+          deadline: The deadline, in seconds on the event loop's clock.
         """
         if not await self.wait_until_writable(deadline):
             return self.unreachable("the stream is closed", sent=False)
@@ -143,14 +144,14 @@
         return pending
 
     async def notify(self, message: Message, deadline: float) -> bool:
-        """Send a message that has no answer.
+        """Send a message that expects no answer.
 
         Args:
           message: The message.
-          deadline: When to give up, on the event loop's clock.
+          deadline: The deadline, in seconds on the event loop's clock.
 
         Returns:
-          Whether it was handed to the connection.
+          Whether the message was written to the connection.
         """
         if not await self.wait_until_writable(deadline):
             return False
@@ -158,10 +159,10 @@
         return self.message_writer.post(message)
 
     async def wait_until_writable(self, deadline: float) -> bool:
-        """Return whether the stream takes a message, with room for it.
+        """Wait for room in the write buffer; return whether the stream is usable.
 
         Args:
-          deadline: When to give up, on the event loop's clock.
+          deadline: The deadline, in seconds on the event loop's clock.
         """
         try:
             async with asyncio.timeout_at(deadline):
@@ -174,12 +175,12 @@
     def streamed_answer(
         self, first: Answer, pending: PendingRequest, deadline: float
     ) -> StreamedAnswer:
-        """Return the reader of a large answer.
+        """Return a reader of the chunks of a large answer.
 
         Args:
-          first: The first part.
+          first: The first chunk.
           pending: The request.
-          deadline: When to give up, on the event loop's clock.
+          deadline: The deadline, in seconds on the event loop's clock.
         """
         number = pending.number
         return StreamedAnswer(
@@ -192,7 +193,7 @@
         )
 
     def unreachable(self, detail: str, *, sent: bool) -> PeerUnreachable:
-        """Return why a request got no answer.
+        """Return a failure for a request that got no answer.
 
         Args:
           detail: What went wrong.
@@ -201,7 +202,7 @@
         return PeerUnreachable(self.vm, sent, detail)
 
     def cancel_request(self, number: int) -> None:
-        """Stop waiting for an answer and tell the peer.
+        """Stop waiting for an answer and send a cancellation to the peer.
 
         Args:
           number: The request's number.
@@ -211,7 +212,7 @@
             self.post(Cancel(number))
 
     def post(self, message: Message) -> None:
-        """Send a short message if the connection takes it.
+        """Send a short message without waiting; drop it if that fails.
 
         Args:
           message: The message.
@@ -220,7 +221,7 @@
             self.message_writer.post(message)
 
     async def probe_if_idle(self) -> None:
-        """Make sure that the peer is there after a pause, or lose it."""
+        """Ping the peer after an idle period; disconnect if it is silent."""
         if self.loop.time() - self.last_received_at < IDLE_PROBE_AFTER_SECONDS:
             return
         pong = self.loop.create_future()
@@ -230,18 +231,18 @@
             async with asyncio.timeout(IDLE_PROBE_TIMEOUT_SECONDS):
                 await pong
         except TimeoutError:
-            self.disconnect("no answer after a pause")
+            self.disconnect("no answer to a ping after an idle period")
         finally:
             self.pong_waiters.remove(pong)
 
     def record_frame(self) -> None:
-        """Note that a frame came in."""
+        """Record that a frame was received."""
         self.liveness.record_frame()
         self.last_received_at = self.loop.time()
         self.last_used_at = self.last_received_at
 
     def resolve_pong_waiters(self) -> None:
-        """Let those go on who wait for the peer to answer a ping."""
+        """Resume the tasks that wait for the peer to answer a ping."""
         for pong in self.pong_waiters:
             if not pong.done():
                 pong.set_result(None)
@@ -256,10 +257,10 @@
             self.record_frame()
             message = self.connection.codec.decode(frame)
             if not receive(message, self):
-                self.disconnect(f"broken protocol: {type(message).__name__}")
+                self.disconnect(f"protocol violation: {type(message).__name__}")
 
     def start_liveness_checks(self) -> None:
-        """Watch over the peer while something is outstanding."""
+        """Start the tick timer, which stops itself once nothing needs it."""
         if self.tick_timer is None and not self.lost:
             self.liveness.record_frame()
             self.tick_timer = self.loop.call_later(
@@ -267,7 +268,7 @@
             )
 
     def tick(self) -> None:
-        """Ping a silent peer or give it up."""
+        """Ping a silent peer, or disconnect after `TIMEOUT_TICKS`."""
         self.tick_timer = None
         if not self.busy:
             return
@@ -280,10 +281,10 @@
         self.tick_timer = self.loop.call_later(TICK_INTERVAL_SECONDS, self.tick)
 
     def disconnect(self, detail: str) -> None:
-        """Drop the connection and end everything outstanding.
+        """Abort the connection, and fail or cancel all outstanding requests.
 
         Args:
-          detail: What happened.
+          detail: Why the stream is lost.
         """
         if self.lost:
             return
@@ -297,9 +298,9 @@
         self.on_lost(self, detail)
 
     async def close(self) -> None:
-        """Answer what was asked, then close; a new request is not run.
+        """Finish outstanding requests, refuse new ones, and close.
 
-        What is unanswered after `CLOSE_TIMEOUT_SECONDS` is given up.
+        Requests that are unanswered after `CLOSE_TIMEOUT_SECONDS` fail.
         """
         if not self.lost and not self.incoming.closing:
             self.incoming.closing = True
@@ -312,7 +313,7 @@
             await self.read_task
 
     async def finish_outstanding(self) -> None:
-        """Wait until nothing is outstanding and every byte is sent."""
+        """Wait until no request is outstanding and all data is sent."""
         try:
             async with asyncio.timeout(CLOSE_TIMEOUT_SECONDS):
                 await self.incoming.idle.wait()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream_pool.py
@@ -1,4 +1,4 @@
-"""The streams to all other proxies."""
+"""Pool of the streams to all other proxies."""
 
 import asyncio
 import collections.abc
@@ -32,16 +32,16 @@
 class PeerStreamPool:
     """Keeps at most one stream in use for each peer.
 
-    A stream is dialed when it is first needed, or taken over when the peer
-    has dialed. Where both dial at once, both prefer the stream that the VM
-    with the lower name dialed; the other one ends when it is idle.
+    A stream is dialed when it is first needed, or added when the peer has
+    dialed. If both dial at the same time, both prefer the stream dialed by the
+    VM whose name sorts first; the other one is closed when it is idle.
 
     Attributes:
-      lost_callbacks: Called with a VM and a reason when the stream to it
-        breaks; a stream that either end closes in order is not lost.
+      lost_callbacks: Called with a VM and a reason when the stream to the VM
+        breaks, but not when either end closes it gracefully.
       is_monitored: Returns whether something besides requests depends on a VM,
         such as a transaction that one of its callers has open here.
-      config_version: The configuration version told to peers on connect.
+      config_version: The configuration version sent to peers on connect.
     """
 
     def __init__(
@@ -78,10 +78,10 @@
         self.closed = False
 
     async def start(self, timer: Timer) -> None:
-        """Begin to close streams that are idle.
+        """Start closing idle streams periodically.
 
         Args:
-          timer: The timer.
+          timer: The timer that runs the periodic task.
         """
         self.subscription = timer.subscribe(
             "idle peer streams", SWEEP_INTERVAL_SECONDS, self.close_idle
@@ -90,10 +90,12 @@
     def set_addresses(
         self, addresses: collections.abc.Mapping[str, Address]
     ) -> None:
-        """Replace the peers' addresses; streams in use go on.
+        """Replace the peers' addresses; open streams are kept.
+
+        The backoff of a VM whose address changed is reset.
 
         Args:
-          addresses: Each VM's IP address and peer port.
+          addresses: The IP address and peer port of each VM.
         """
         self.backoffs = {
             vm: backoff
@@ -103,7 +105,7 @@
         self.addresses = dict(addresses)
 
     def connected(self) -> list[str]:
-        """Return the VMs to which a usable stream is open."""
+        """Return the VMs with a usable stream, in sorted order."""
         return sorted(
             vm for vm, stream in self.streams.items() if stream.usable
         )
@@ -111,12 +113,12 @@
     async def request(
         self, vm: str, message: Request, timeout: float
     ) -> Message | PeerUnreachable:
-        """Send a request and return the whole answer.
+        """Send a request and return the complete answer.
 
         Args:
-          vm: The VM to ask.
+          vm: The VM to send the request to.
           message: The request; its number is filled in.
-          timeout: When to give up, in seconds from now.
+          timeout: The timeout in seconds.
         """
         reply = await self.request_streamed(vm, message, timeout)
         if isinstance(reply, StreamedAnswer):
@@ -126,18 +128,18 @@
     async def request_streamed(
         self, vm: str, message: Request, timeout: float
     ) -> PeerReply:
-        """Send a request and return its answer, a large one in parts.
+        """Send a request and return its answer, in chunks if it is large.
 
-        A request that certainly reached no handler because the stream ended
-        is sent again on a new one.
+        If the stream ends and the request certainly reached no handler, it is
+        sent again on a new stream.
 
         Args:
-          vm: The VM to ask.
+          vm: The VM to send the request to.
           message: The request; its number is filled in.
-          timeout: When to give up, in seconds from now.
+          timeout: The timeout in seconds.
         """
         deadline = asyncio.get_running_loop().time() + timeout
-        reply: PeerReply = PeerUnreachable(vm, False, "not tried")
+        reply: PeerReply = PeerUnreachable(vm, False, "not attempted")
         for _ in range(MAX_ATTEMPTS):
             stream = await self.stream_to(vm, deadline)
             if isinstance(stream, PeerUnreachable):
@@ -150,15 +152,15 @@
     async def notify(
         self, vm: str, message: Message, timeout: float = NOTIFY_TIMEOUT_SECONDS
     ) -> bool:
-        """Send a message that has no answer.
+        """Send a message that expects no answer.
 
         Args:
-          vm: The VM to tell.
+          vm: The VM to notify.
           message: The message.
-          timeout: When to give up, in seconds from now.
+          timeout: The timeout in seconds.
 
         Returns:
-          Whether it was handed to a connection.
+          Whether the message was written to a connection.
         """
         deadline = asyncio.get_running_loop().time() + timeout
         for _ in range(MAX_ATTEMPTS):
@@ -175,8 +177,8 @@
         """Send a short message to the peers with an open stream.
 
         Args:
-          message: The message; it has no answer.
-          limit: To how many of them, chosen at random; None for all.
+          message: The message, which expects no answer.
+          limit: The number of peers, chosen at random; None for all.
         """
         streams = [one for one in self.streams.values() if one.usable]
         if limit is not None and limit < len(streams):
@@ -191,7 +193,7 @@
 
         Args:
           vm: The VM.
-          deadline: When to give up, on the event loop's clock.
+          deadline: The deadline, in seconds on the event loop's clock.
         """
         stream = self.streams.get(vm)
         if stream is not None and stream.usable:
@@ -200,12 +202,12 @@
             async with asyncio.timeout_at(deadline):
                 return await asyncio.shield(self.shared_dial(vm))
         except TimeoutError:
-            return PeerUnreachable(vm, False, "no connection in time")
+            return PeerUnreachable(vm, False, "connection timed out")
 
     def shared_dial(
         self, vm: str
     ) -> asyncio.Task[PeerStream | PeerUnreachable]:
-        """Return the dialing of a VM, which all who need it share.
+        """Return the dial task of a VM, shared by all its waiters.
 
         Args:
           vm: The VM.
@@ -218,7 +220,7 @@
         return task
 
     async def dial(self, vm: str) -> PeerStream | PeerUnreachable:
-        """Open a stream to a VM unless it failed a short time ago.
+        """Open a stream to a VM, unless its backoff delays the attempt.
 
         Args:
           vm: The VM.
@@ -226,7 +228,7 @@
         now = asyncio.get_running_loop().time()
         address = self.addresses.get(vm)
         if self.closed or address is None or vm == self.vm:
-            return PeerUnreachable(vm, False, "no address")
+            return PeerUnreachable(vm, False, "no address known")
         backoff = self.backoffs.setdefault(vm, Backoff(self.rng))
         if not backoff.allows(now):
             return PeerUnreachable(vm, False, "failed a short time ago")
@@ -238,7 +240,7 @@
         return await self.add_connection(connection)
 
     async def add_connection(self, connection: PeerConnection) -> PeerStream:
-        """Run a stream on a proven connection.
+        """Run a stream on an authenticated connection.
 
         Args:
           connection: The connection, dialed or accepted.
@@ -276,7 +278,7 @@
         )
 
     def is_peer_monitored(self, vm: str) -> bool:
-        """Return whether a VM's silence matters without any request.
+        """Return whether a VM is monitored even without open requests.
 
         Args:
           vm: The VM.
@@ -284,11 +286,11 @@
         return self.is_monitored(vm)
 
     def remove_stream(self, stream: PeerStream, detail: str) -> None:
-        """Use a lost stream no more.
+        """Remove a lost stream and report the loss unless it was closed.
 
         Args:
           stream: The stream.
-          detail: Why it was lost.
+          detail: Why the stream was lost.
         """
         self.all_streams.discard(stream)
         if self.streams.get(stream.vm) is not stream:
@@ -299,10 +301,10 @@
                 callback(stream.vm, detail)
 
     async def close_idle(self, now: float) -> None:
-        """Close the streams that were not used for a while.
+        """Close the streams unused for `IDLE_TIMEOUT_SECONDS`.
 
         Args:
-          now: The timer's time; not used, since streams keep the loop's time.
+          now: The timer's time; ignored, since streams use the loop's clock.
         """
         del now
         limit = asyncio.get_running_loop().time() - IDLE_TIMEOUT_SECONDS
@@ -313,7 +315,7 @@
                 task.add_done_callback(self.pending_closes.discard)
 
     async def close(self) -> None:
-        """Answer what peers have asked, then close every stream."""
+        """Finish outstanding requests, then close all streams."""
         self.closed = True
         if self.subscription:
             self.subscription.close()
@@ -327,6 +329,6 @@
     """Return whether a request certainly reached no handler.
 
     Args:
-      reply: What became of it.
+      reply: The answer to the request, or why there is none.
     """
     return isinstance(reply, PeerUnreachable) and not reply.sent
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/pending_request.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that waits for its answer."""
+"""A request that is waiting for its answer."""
 
 import asyncio
 
@@ -14,13 +14,13 @@
 
 @attrs.define(eq=False)
 class PendingRequest:
-    """A request on its way.
+    """A request that is waiting for its answer.
 
     Attributes:
-      number: Its number on the stream.
-      request_type: Its message type.
-      first: Resolved with the answer, or the first part of a large one.
-      chunks: Further parts; None until a large answer began.
+      number: The request's number on the stream.
+      request_type: The message type of the request.
+      first: Resolved with the answer, or with the first chunk of a large one.
+      chunks: The further chunks; None until a large answer begins.
     """
 
     number: int
@@ -29,14 +29,14 @@
     chunks: asyncio.Queue[ChunkEvent] | None = None
 
     def open_chunk_queue(self) -> None:
-        """Expect further parts, as many as the window and an end."""
+        """Create the queue, with room for the window and the end."""
         self.chunks = asyncio.Queue(WINDOW_CHUNKS + 2)
 
     def fail(self, outcome: PeerUnreachable) -> None:
-        """Give up the wait.
+        """End the request without a complete answer.
 
         Args:
-          outcome: What the request's sender is told.
+          outcome: The failure to return to the sender.
         """
         if not self.first.done():
             self.first.set_result(outcome)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/pending_requests.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/pending_requests.py
@@ -1,4 +1,4 @@
-"""The requests of one stream that wait for answers."""
+"""The requests of one stream that are waiting for answers."""
 
 import asyncio
 
@@ -18,9 +18,12 @@
 
 
 class PendingRequests:
-    """Brings each answer to the request that it belongs to.
+    """Matches answers to pending requests by request number.
 
-    An answer that comes late, twice or for no known request is dropped.
+    Late, duplicate and unknown answers are dropped.
+
+    Attributes:
+      dropped: The number of messages that were dropped.
     """
 
     def __init__(self, vm: str) -> None:
@@ -40,11 +43,11 @@
         return self.last_number
 
     def add(self, number: int, request_type: type[Message]) -> PendingRequest:
-        """Begin to wait for an answer.
+        """Add a request that is waiting for an answer.
 
         Args:
           number: The request's number.
-          request_type: The request's type.
+          request_type: The request's message type.
         """
         first = asyncio.get_running_loop().create_future()
         request = PendingRequest(number, request_type, first)
@@ -53,7 +56,7 @@
         return request
 
     def discard(self, number: int) -> None:
-        """Stop waiting; a later answer is dropped.
+        """Remove a request; an answer that arrives later is dropped.
 
         Args:
           number: The request's number.
@@ -63,13 +66,13 @@
             self.idle.set()
 
     def resolve(self, answer: RequestAnswer) -> bool:
-        """Hand an answer to its request.
+        """Resolve the request that an answer belongs to.
 
         Args:
           answer: The answer.
 
         Returns:
-          False if the answer is of a type that the request cannot have.
+          False if the type of the answer does not match the request.
         """
         request = self.by_number.get(answer.request_number)
         if request is None or request.first.done():
@@ -85,14 +88,14 @@
         return True
 
     def add_chunk(self, number: int, chunk: Rows | AnswerEnd) -> bool:
-        """Hand a part of a large answer to its request.
+        """Queue a chunk of a large answer for its request.
 
         Args:
           number: The request's number.
-          chunk: The part.
+          chunk: The chunk, or the end of the answer.
 
         Returns:
-          False if the peer sent more than it was allowed to.
+          False if the peer sent more chunks than it had credit for.
         """
         request = self.by_number.get(number)
         if request is None or request.chunks is None:
@@ -108,8 +111,10 @@
     def refuse(self, refusal: Refused) -> None:
         """End a request that reached no handler.
 
+        A refusal of another message type is ignored.
+
         Args:
-          refusal: What the peer said.
+          refusal: The peer's refusal.
         """
         request = self.by_number.get(refusal.request_number)
         if request is None or request.first.done():
@@ -119,10 +124,10 @@
             self.fail_request(request, sent=False, detail=str(refusal.reason))
 
     def handle_failure(self, failure: RequestFailed) -> None:
-        """End a request whose handler broke down.
+        """End a request whose handler failed.
 
         Args:
-          failure: What the peer said.
+          failure: The peer's report of the failure.
         """
         request = self.by_number.get(failure.request_number)
         if request is not None:
@@ -132,19 +137,19 @@
         """End the requests that a closing peer will not handle.
 
         Args:
-          last_number: The newest request that it handles.
+          last_number: The highest request number that the peer handles.
         """
         for request in list(self.by_number.values()):
             if request.number > last_number:
                 self.fail_request(
-                    request, sent=False, detail="the peer is closing"
+                    request, sent=False, detail="the peer is closing the stream"
                 )
 
     def fail_all(self, detail: str) -> None:
-        """End every request, since the stream is lost.
+        """End all requests because the stream is lost.
 
         Args:
-          detail: What happened to the stream.
+          detail: Why the stream is lost.
         """
         for request in list(self.by_number.values()):
             self.fail_request(request, sent=True, detail=detail)
@@ -156,15 +161,15 @@
 
         Args:
           request: The request.
-          sent: Whether it may have reached a handler.
-          detail: What happened.
+          sent: Whether the request may have reached a handler.
+          detail: What went wrong.
         """
         self.discard(request.number)
         request.fail(PeerUnreachable(self.vm, sent, detail))
 
 
 def has_more(answer: RequestAnswer) -> bool:
-    """Return whether further parts of an answer follow.
+    """Return whether further chunks of an answer follow.
 
     Args:
       answer: The answer.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/proof_digest.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/proof_digest.py
@@ -1,4 +1,4 @@
-"""Digests that prove knowledge of the shared secret."""
+"""HMAC digests that prove knowledge of the shared secret."""
 
 import enum
 import hashlib
@@ -8,10 +8,10 @@
 
 
 class ProofRole(enum.StrEnum):
-    """The end of a connection that a proof is for.
+    """The end of a connection that makes a proof.
 
-    The role is part of the digest, so that a proof cannot be sent back to
-    the end that made it.
+    The role is part of the digest, which prevents reflection attacks: a proof
+    is not valid when sent back to the end that made it.
     """
 
     DIALER = "dialer"
@@ -31,12 +31,12 @@
 
     Args:
       secret: The shared secret.
-      role: The end that proves.
-      acceptor_nonce: The accepting end's random bytes.
-      dialer_nonce: The dialing end's random bytes.
-      vm: The VM that proves.
-      boot: The id of its process.
-      peer_vm: The VM that the proof is for.
+      role: The role of the end that makes the proof.
+      acceptor_nonce: The accepting end's nonce.
+      dialer_nonce: The dialing end's nonce.
+      vm: The VM that makes the proof.
+      boot: The process id of that VM, new at each start.
+      peer_vm: The VM that the proof is meant for.
     """
     fields = [str(role), acceptor_nonce, dialer_nonce, vm, boot, peer_vm]
     return hmac.digest(secret, msgpack.packb(fields), hashlib.sha256)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/receive.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/receive.py
@@ -1,4 +1,4 @@
-"""What a stream does with each message of its peer."""
+"""Dispatch of the messages that a stream receives."""
 
 import functools
 import typing
@@ -30,14 +30,14 @@
 
 @functools.singledispatch
 def receive(message: Message | Malformed, stream: "PeerStream") -> bool:
-    """Take a message in.
+    """Process a received message.
 
     Args:
       message: The message.
-      stream: The stream that it came on.
+      stream: The stream that received the message.
 
     Returns:
-      False if the peer broke the protocol, so that the stream must end.
+      False if the peer violated the protocol and the stream has to end.
     """
     assert not isinstance(message, Malformed)
     stream.incoming.start_handler(message)
@@ -47,7 +47,7 @@
 
 @receive.register(Malformed)
 def receive_malformed(message: Malformed, stream: "PeerStream") -> bool:
-    """Refuse a message of a newer version; anything else is an error."""
+    """Refuse a message type of a newer version; reject anything else."""
     if not message.unknown_type:
         return False
     refused = Refused(
@@ -62,7 +62,7 @@
 @receive.register(Challenge)
 @receive.register(Proof)
 def receive_handshake(_: Challenge | Proof, __: "PeerStream") -> bool:
-    """Reject a message that belongs before the proof."""
+    """Reject a message that is only valid in the handshake."""
     return False
 
 
@@ -75,7 +75,7 @@
 
 @receive.register(Pong)
 def receive_pong(_: Pong, stream: "PeerStream") -> bool:
-    """Note that the peer is there."""
+    """Resume the tasks that wait for a pong."""
     stream.resolve_pong_waiters()
     return True
 
@@ -88,19 +88,19 @@
     message: Answer | LeaseGivenUp | EvidenceAnswer | ChangesAnswer,
     stream: "PeerStream",
 ) -> bool:
-    """Hand an answer to its request."""
+    """Resolve the request that an answer belongs to."""
     return stream.pending.resolve(message)
 
 
 @receive.register(RowsChunk)
 def receive_chunk(message: RowsChunk, stream: "PeerStream") -> bool:
-    """Hand a part of a large answer to its request."""
+    """Queue a chunk of a large answer for its request."""
     return stream.pending.add_chunk(message.request_number, message.rows)
 
 
 @receive.register(AnswerEnd)
 def receive_end(message: AnswerEnd, stream: "PeerStream") -> bool:
-    """Hand the end of a large answer to its request."""
+    """Queue the end of a large answer for its request."""
     return stream.pending.add_chunk(message.request_number, message)
 
 
@@ -113,28 +113,28 @@
 
 @receive.register(RequestFailed)
 def receive_failed(message: RequestFailed, stream: "PeerStream") -> bool:
-    """End a request whose handler broke down."""
+    """End a request whose handler failed."""
     stream.pending.handle_failure(message)
     return True
 
 
 @receive.register(ChunkCredit)
 def receive_credit(message: ChunkCredit, stream: "PeerStream") -> bool:
-    """Allow more parts of a large answer to be sent."""
+    """Allow more chunks of a large answer to be sent."""
     stream.incoming.add_credit(message.request_number, message.chunks)
     return True
 
 
 @receive.register(Cancel)
 def receive_cancel(message: Cancel, stream: "PeerStream") -> bool:
-    """Cancel a handler whose answer nobody waits for."""
+    """Cancel the handler of a request."""
     stream.incoming.cancel(message.request_number)
     return True
 
 
 @receive.register(Closing)
 def receive_closing(message: Closing, stream: "PeerStream") -> bool:
-    """Send no more requests on this stream."""
+    """Mark the stream as closing and end the requests not handled."""
     stream.peer_closing = True
     stream.pending.refuse_above(message.last_request_number)
     return True
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/request_types.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/request_types.py
@@ -1,4 +1,4 @@
-"""Which messages are requests and what answers them."""
+"""Request messages and the types of their answers."""
 
 import typing
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/split_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/split_rows.py
@@ -1,4 +1,4 @@
-"""Division of large results into parts."""
+"""Splitting of large results into chunks."""
 
 import collections.abc
 
@@ -10,7 +10,7 @@
 
 
 def row_size(row: Row) -> int:
-    """Return the most bytes that a row takes on the wire.
+    """Return the maximum size of an encoded row in bytes.
 
     Args:
       row: The row.
@@ -22,11 +22,13 @@
 def split_rows(
     rows: Rows, chunk_bytes: int = CHUNK_BYTES
 ) -> collections.abc.Iterator[Rows]:
-    """Yield rows in parts that are small unless one row is large.
+    """Yield rows in chunks of limited size.
+
+    A row above the limit is a chunk of its own.
 
     Args:
       rows: The rows.
-      chunk_bytes: The size in bytes above which a new part begins.
+      chunk_bytes: The maximum size of a chunk of several rows, in bytes.
     """
     chunk: list[Row] = []
     size = 0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/streamed_answer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/streamed_answer.py
@@ -1,4 +1,4 @@
-"""A large answer that is read in parts."""
+"""Reading of a large answer in chunks."""
 
 import asyncio
 import collections.abc
@@ -15,16 +15,16 @@
     Rows,
 )
 
-TOO_LARGE = "the result is too large"
+TOO_LARGE = "the result exceeds the size limit"
 
 Credit = collections.abc.Callable[[int], None]
 
 
 class StreamedAnswer:
-    """The first part of an answer and the way to the others.
+    """An answer whose first chunk has arrived and whose others follow.
 
     Attributes:
-      first: The first part, with the columns.
+      first: The first chunk, with the columns.
       end: How the answer ended; None until `chunks` is exhausted.
     """
 
@@ -47,7 +47,7 @@
         self.row_count = len(first_rows(first))
 
     async def chunks(self) -> collections.abc.AsyncIterator[Rows]:
-        """Yield the further rows; then `end` says whether they are all."""
+        """Yield the further rows, then set `end`."""
         while self.end is None:
             event = await self.next_event()
             if isinstance(event, AnswerEnd):
@@ -60,13 +60,15 @@
                 yield event
 
     def close(self) -> None:
-        """Say that no further part is wanted."""
+        """Cancel the request if it is still pending."""
         self.cancel_request()
 
     async def next_event(self) -> ChunkEvent:
-        """Return the next part, or that none came before the deadline."""
+        """Return the next chunk, or a failure after the deadline."""
         if self.request.chunks is None:
-            return PeerUnreachable(self.vm, sent=True, detail="no parts")
+            return PeerUnreachable(
+                self.vm, sent=True, detail="not a chunked answer"
+            )
         try:
             async with asyncio.timeout_at(self.deadline):
                 return await self.request.chunks.get()
@@ -75,20 +77,20 @@
             return PeerUnreachable(self.vm, sent=True, detail="timeout")
 
     def check_row_count(self, end: AnswerEnd) -> AnswerEnd | PeerUnreachable:
-        """Return an end, or a failure if rows are missing before it.
+        """Return the end of an answer, or a failure if rows are missing.
 
         Args:
-          end: What the peer sent.
+          end: The end that the peer sent.
         """
         if end.error is None and end.row_count != self.row_count:
             return PeerUnreachable(self.vm, sent=True, detail="rows missing")
         return end
 
     async def collect(self, max_bytes: int) -> Answer | PeerUnreachable:
-        """Return the whole answer in one piece.
+        """Read all chunks and return the complete answer.
 
         Args:
-          max_bytes: The most bytes of rows to keep in memory.
+          max_bytes: The maximum size of the rows in bytes.
         """
         rows = list(first_rows(self.first))
         size = sum(map(row_size, rows))
@@ -103,13 +105,15 @@
         return self.assemble(tuple(rows))
 
     def assemble(self, rows: Rows) -> Answer | PeerUnreachable:
-        """Return the answer with all its rows, or why it broke off.
+        """Return the answer with all rows, its error, or a failure.
 
         Args:
-          rows: The rows that came.
+          rows: The rows that were received.
         """
         if not isinstance(self.end, AnswerEnd):
-            return self.end or PeerUnreachable(self.vm, True, "broken off")
+            return self.end or PeerUnreachable(
+                self.vm, True, "answer incomplete"
+            )
         if self.end.error is not None:
             return attrs.evolve(self.first, result=self.end.error)
         assert isinstance(self.first.result, ResultRows)
@@ -120,9 +124,9 @@
 
 
 def first_rows(first: Answer) -> Rows:
-    """Return the rows in the first part of an answer.
+    """Return the rows in the first chunk of an answer.
 
     Args:
-      first: The first part.
+      first: The first chunk.
     """
     return first.result.rows if isinstance(first.result, ResultRows) else ()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/streamed_result.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/streamed_result.py
@@ -1,4 +1,4 @@
-"""A large result that a handler sends in parts."""
+"""A result that a handler produces in chunks."""
 
 import collections.abc
 
@@ -9,11 +9,11 @@
 
 @attrs.frozen
 class StreamedResult:
-    """An answer whose rows follow while they are read.
+    """An answer whose further rows are sent as they are produced.
 
     Attributes:
-      first: The first part; its result is a `ResultRows`.
-      chunks: The further rows, in order; an error ends them.
+      first: The first chunk; its result is a `ResultRows`.
+      chunks: The further rows, in order; an error ends the result.
     """
 
     first: Answer
--- a/packages/jackdawcrank-proxy/tests/peers/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/peers/conftest.py
@@ -1,4 +1,4 @@
-"""Two proxies whose streams run through a relay that can misbehave."""
+"""Fixtures: two proxies connected through a fault-injecting interceptor."""
 
 import asyncio
 import collections.abc
@@ -23,11 +23,13 @@
 
 
 class FrameInterceptor:
-    """Passes frames on and lets a test change, repeat or drop them.
+    """Forwards frames and lets a test change, repeat or drop them.
 
     Attributes:
-      hook: Called with the sender's side and a message; returns what to pass.
-      frozen: Whether the connections that are open pass nothing more.
+      hook: Called with the sender's side and a message; returns the messages
+        to forward.
+      blackholed: The writers that forward nothing more.
+      accepted: The number of connections accepted so far.
     """
 
     def __init__(self) -> None:
@@ -73,11 +75,11 @@
             writer.writer.close()
 
     def blackhole(self) -> None:
-        """Pass nothing more on the connections that are open."""
+        """Drop all further frames on the open connections."""
         self.blackholed.update(self.writers)
 
     def abort_connections(self) -> None:
-        """Abort the connections that are open."""
+        """Abort the open connections."""
         for writer in self.writers:
             writer.abort()
 
@@ -90,7 +92,7 @@
 
 
 class StubHandler:
-    """A handler of statements that a test can hold back."""
+    """A statement handler whose answers a test can delay or replace."""
 
     def __init__(self) -> None:
         self.seen: list[bytes] = []
@@ -116,7 +118,7 @@
 
 
 class Node:
-    """One proxy's end: its server, streams and handler."""
+    """The peer server, stream pool and statement handler of one proxy."""
 
     def __init__(
         self, vm: str, boot: str = "1", secret: bytes = SECRET
@@ -148,7 +150,7 @@
 
 
 class Pair:
-    """`vm-a`, which reaches `vm-b` through the relay."""
+    """Proxies `vm-a` and `vm-b`; `vm-a` dials through the interceptor."""
 
     def __init__(self) -> None:
         self.interceptor = FrameInterceptor()
--- a/packages/jackdawcrank-proxy/tests/peers/test_golden_session.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_golden_session.py
@@ -1,6 +1,6 @@
-"""Every message of a whole session, as it is on the wire.
+"""Golden-file test of all messages of a session on the wire.
 
-Set `UPDATE_GOLDEN=1` to write the file anew after a change of the protocol.
+Set `UPDATE_GOLDEN=1` to regenerate the file after a protocol change.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
 
 
 class Recorder:
-    """Notes messages by step; within a step the dialer's come first."""
+    """Records messages by step, the dialer's first within each step."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -63,9 +63,9 @@
 
 
 def to_plain(value: typing.Any) -> typing.Any:
-    """Return a value as lists, without fields that hold their defaults.
+    """Return a value as lists, without trailing fields that hold defaults.
 
-    Only fields at the end are left out, as an older version would.
+    An older protocol version omits the same trailing fields.
     """
     if attrs.has(type(value)):
         fields = list(attrs.fields(type(value)))
@@ -112,7 +112,7 @@
 
 
 async def wait_until_delivered(pair: typing.Any) -> None:
-    """Wait until everything that was sent has passed the relay."""
+    """Wait until all sent messages have passed the interceptor."""
     for peer_pool in (pair.a.peer_pool, pair.b.peer_pool):
         for stream in peer_pool.streams.values():
             await stream.probe_if_idle()
--- a/packages/jackdawcrank-proxy/tests/peers/test_peer_server.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_peer_server.py
@@ -1,4 +1,4 @@
-"""Strangers on the peer port."""
+"""Tests of unauthenticated and misbehaving clients on the peer port."""
 
 import asyncio
 import random
--- a/packages/jackdawcrank-proxy/tests/peers/test_peer_stream_pool.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_peer_stream_pool.py
@@ -1,4 +1,4 @@
-"""Requests between two proxies over real connections."""
+"""Tests of requests between two proxies over TCP connections."""
 
 import asyncio
 import typing
--- a/packages/jackdawcrank-proxy/tests/peers/test_pending_requests.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_pending_requests.py
@@ -1,4 +1,4 @@
-"""Answers and refusals that belong to no request, or to another one."""
+"""Tests of answers and refusals that match no pending request."""
 
 from jackdawcrank.peers.pending_requests import PendingRequests
 from jackdawcrank_wire.codec.envelope import MESSAGE_NUMBERS
--- a/packages/jackdawcrank-proxy/tests/peers/test_small_parts.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_small_parts.py
@@ -1,4 +1,4 @@
-"""Parts of streams that need no connection."""
+"""Unit tests of stream components that need no connection."""
 
 import random
 
