--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/connector.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/connector.py
@@ -15,7 +15,7 @@
 from jackdawcrank_wire.codec import Codec
 from jackdawcrank_wire.framing import FrameReader, FrameWriter
 
-CONNECT_TIMEOUT_SECONDS = 1.0
+PEER_CONNECT_TIMEOUT_SECONDS = 1.0
 
 RunHandshake = collections.abc.Callable[
     [Handshake],
@@ -44,7 +44,7 @@
           port: The peer port of the VM.
         """
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
+            async with asyncio.timeout(PEER_CONNECT_TIMEOUT_SECONDS):
                 streams = await asyncio.open_connection(host, port)
         except (TimeoutError, OSError) as error:
             return HandshakeFailed(f"connection failed: {type(error).__name__}")
