--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream_pool.py
@@ -231,7 +231,9 @@
             return PeerUnreachable(vm, False, "no address known")
         backoff = self.backoffs.setdefault(vm, Backoff(self.rng))
         if not backoff.allows(now):
-            return PeerUnreachable(vm, False, "failed a short time ago")
+            return PeerUnreachable(
+                vm, False, "backing off after a failed connection attempt"
+            )
         connection = await self.connector.dial(vm, *address)
         if isinstance(connection, HandshakeFailed):
             backoff.record_failure(asyncio.get_running_loop().time())
--- a/packages/jackdawcrank-proxy/tests/peers/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/peers/conftest.py
@@ -196,6 +196,6 @@
             if condition():
                 return
             await asyncio.sleep(0.002)
-        raise AssertionError("the condition was never met")
+        raise AssertionError("condition not met after 2000 polls")
 
     return wait
--- a/packages/jackdawcrank-proxy/tests/peers/test_peer_stream_pool.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_peer_stream_pool.py
@@ -194,7 +194,7 @@
     second = await pair.a.execute("vm-b", b"one")
     assert is_unsent(first)
     assert is_unsent(second)
-    assert second.detail == "failed a short time ago"
+    assert second.detail == "backing off after a failed connection attempt"
     assert is_unsent(await pair.a.execute("vm-x", b"one"))
 
 
