--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/chunk_sender.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/chunk_sender.py
@@ -1,11 +1,11 @@
-"""Sending of one large result."""
+"""Flow-controlled sending of one large result."""
 
 import asyncio
 import collections.abc
 
 import attrs
 
-from jackdawcrank.peers.outbox import Outbox
+from jackdawcrank.peers.message_writer import MessageWriter
 from jackdawcrank.peers.pending_request import WINDOW_CHUNKS
 from jackdawcrank.peers.split_rows import split_rows
 from jackdawcrank.peers.streamed_result import StreamedResult
@@ -20,72 +20,80 @@
 
 
 class ChunkSender:
-    """Sends a result in parts, no faster than its receiver reads them."""
+    """Sends a result in chunks, as fast as the receiver grants credit.
 
-    def __init__(self, number: int, outbox: Outbox) -> None:
+    At most `WINDOW_CHUNKS` chunks are unread by the receiver at any time.
+    """
+
+    def __init__(self, number: int, message_writer: MessageWriter) -> None:
         self.number = number
-        self.outbox = outbox
+        self.message_writer = message_writer
         self.row_count = 0
         self.credit = asyncio.Semaphore(WINDOW_CHUNKS)
 
     def add_credit(self, chunks: int) -> None:
-        """Allow more parts to be sent.
+        """Allow more chunks to be sent.
 
         Args:
-          chunks: How many.
+          chunks: The number of further chunks.
         """
         for _ in range(min(chunks, WINDOW_CHUNKS)):
             self.credit.release()
 
     async def send(self, answer: StreamedResult) -> bool:
-        """Send a result and its end.
+        """Send all chunks of a result and its end.
 
         Args:
-          answer: The first part and the way to the others.
+          answer: The first chunk and an iterator of the others.
 
         Returns:
-          False if a part could not be sent.
+          False if a chunk could not be sent.
         """
         result = answer.first.result
         assert isinstance(result, ResultRows)
-        parts = split_rows(result.rows)
-        head = attrs.evolve(result, rows=next(parts, ()), complete=False)
-        if not await self.outbox.send(Answer(self.number, head)):
+        row_chunks = split_rows(result.rows)
+        head = attrs.evolve(result, rows=next(row_chunks, ()), complete=False)
+        if not await self.message_writer.send(Answer(self.number, head)):
             return False
         self.row_count = len(head.rows)
-        if not await self.send_parts(parts):
+        if not await self.send_chunks(row_chunks):
             return False
         async for rows in answer.chunks:
             if isinstance(rows, ResultError):
-                return await self.end(rows)
-            if not await self.send_parts(split_rows(rows)):
+                return await self.send_end(rows)
+            if not await self.send_chunks(split_rows(rows)):
                 return False
-        return await self.end(None)
+        return await self.send_end(None)
 
-    async def send_parts(self, parts: collections.abc.Iterable[Rows]) -> bool:
-        """Send parts as the receiver allows them.
+    async def send_chunks(
+        self, row_chunks: collections.abc.Iterable[Rows]
+    ) -> bool:
+        """Send chunks, waiting for credit before each.
 
         Args:
-          parts: The rows.
+          row_chunks: The rows of each chunk.
 
         Returns:
-          False if a part could not be sent.
+          False if a chunk could not be sent.
         """
-        for part in parts:
+        for chunk in row_chunks:
             await self.credit.acquire()
-            if not await self.outbox.send(RowsChunk(self.number, part)):
+            if not await self.message_writer.send(
+                RowsChunk(self.number, chunk)
+            ):
                 return False
-            self.row_count += len(part)
+            self.row_count += len(chunk)
         return True
 
-    async def end(self, error: ResultError | None) -> bool:
+    async def send_end(self, error: ResultError | None) -> bool:
         """Send the end of a result.
 
         Args:
-          error: Why it broke off; None if it is whole.
+          error: The error that ended the result early; None if the result is
+            complete.
 
         Returns:
           False if it could not be sent.
         """
         end = AnswerEnd(self.number, self.row_count, error)
-        return await self.outbox.send(end)
+        return await self.message_writer.send(end)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/incoming_requests.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/incoming_requests.py
@@ -1,4 +1,4 @@
-"""The requests of a peer that are being handled."""
+"""Handling of the requests that a peer sends."""
 
 import asyncio
 import collections.abc
@@ -8,7 +8,7 @@
 from absl import logging
 
 from jackdawcrank.peers.chunk_sender import ChunkSender
-from jackdawcrank.peers.outbox import Outbox
+from jackdawcrank.peers.message_writer import MessageWriter
 from jackdawcrank.peers.peer_handlers import (
     PeerAnswer,
     PeerHandler,
@@ -33,24 +33,26 @@
 
 
 class IncomingRequests:
-    """Runs the handlers of one stream's messages, each in a task."""
+    """Runs the handlers of one stream's messages, each in its own task."""
 
-    def __init__(self, vm: str, handlers: PeerHandlers, outbox: Outbox) -> None:
+    def __init__(
+        self, vm: str, handlers: PeerHandlers, message_writer: MessageWriter
+    ) -> None:
         self.vm = vm
         self.handlers = handlers
-        self.outbox = outbox
+        self.message_writer = message_writer
         self.last_number = 0
         self.closing = False
         self.by_number: dict[int, asyncio.Task[None]] = {}
         self.senders: dict[int, ChunkSender] = {}
-        self.notices: set[asyncio.Task[PeerAnswer]] = set()
+        self.notifications: set[asyncio.Task[PeerAnswer]] = set()
         self.idle = asyncio.Event()
         self.idle.set()
 
     def __len__(self) -> int:
         return len(self.by_number)
 
-    def begin(self, message: Message) -> None:
+    def start_handler(self, message: Message) -> None:
         """Start the handler of a message.
 
         Args:
@@ -58,45 +60,49 @@
         """
         handler = self.handlers.find(type(message))
         if is_request(message):
-            self.begin_request(message, handler)
+            self.start_request(message, handler)
         elif handler is not None:
-            self.begin_notice(message, handler)
+            self.start_notification(message, handler)
 
-    def begin_notice(self, message: Message, handler: PeerHandler) -> None:
-        """Start the handler of a message that has no answer.
+    def start_notification(
+        self, message: Message, handler: PeerHandler
+    ) -> None:
+        """Start the handler of a message that expects no answer.
 
-        Such messages are hints; beyond the bound they are dropped.
+        Such messages are only hints, so they are dropped while `MAX_INCOMING`
+        of them are being handled.
 
         Args:
           message: The message.
-          handler: Its handler.
+          handler: The handler of its type.
         """
-        if len(self.notices) >= MAX_INCOMING:
+        if len(self.notifications) >= MAX_INCOMING:
             return
         task = asyncio.ensure_future(handler(self.vm, message))
-        self.notices.add(task)
-        task.add_done_callback(self.end_notice)
+        self.notifications.add(task)
+        task.add_done_callback(self.finish_notification)
 
-    def end_notice(self, task: asyncio.Task[PeerAnswer]) -> None:
-        """Forget a handler and log what it raised.
+    def finish_notification(self, task: asyncio.Task[PeerAnswer]) -> None:
+        """Remove a finished handler and log any exception that it raised.
 
         Args:
           task: The handler's task.
         """
-        self.notices.discard(task)
+        self.notifications.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            logging.error("peer handler failed", exc_info=error)
+            logging.error("handler of a peer message failed", exc_info=error)
 
-    def begin_request(
+    def start_request(
         self, request: Request, handler: PeerHandler | None
     ) -> None:
         """Start the handler of a request, or refuse it.
 
-        A number that is not above the last one is a duplicate and dropped.
+        A request whose number is not above the last one is a duplicate and is
+        dropped.
 
         Args:
           request: The request.
-          handler: Its handler, if there is one.
+          handler: The handler of its type, or None if there is none.
         """
         number = request.request_number
         if number <= self.last_number:
@@ -110,37 +116,41 @@
             self.refuse(request, RefusalReason.OVERLOADED)
         else:
             self.idle.clear()
-            task = asyncio.ensure_future(self.run(request, handler))
+            task = asyncio.ensure_future(self.run_handler(request, handler))
             self.by_number[number] = task
-            task.add_done_callback(lambda _: self.end(number))
+            task.add_done_callback(lambda _: self.finish_request(number))
 
     def refuse(self, request: Request, reason: RefusalReason) -> None:
-        """Say that no handler sees a request.
+        """Tell the peer that a request was not passed to any handler.
 
         Args:
           request: The request.
-          reason: Why.
+          reason: Why it was refused.
         """
         number = MESSAGE_NUMBERS[type(request)]
-        self.outbox.post(Refused(request.request_number, reason, number))
+        self.message_writer.post(
+            Refused(request.request_number, reason, number)
+        )
 
-    async def run(self, request: Request, handler: PeerHandler) -> None:
+    async def run_handler(self, request: Request, handler: PeerHandler) -> None:
         """Run a handler and send its answer.
 
         Args:
           request: The request.
-          handler: Its handler.
+          handler: The handler of its type.
         """
         number = request.request_number
         try:
             answer = await handler(self.vm, request)
             await self.send_answer(number, answer)
         except Exception:
-            logging.exception("peer handler failed")
-            self.outbox.post(RequestFailed(number, "the handler failed"))
+            logging.exception("handler of a peer request failed")
+            self.message_writer.post(
+                RequestFailed(number, "the handler failed")
+            )
 
-    def end(self, number: int) -> None:
-        """Forget a request that was answered or cancelled.
+    def finish_request(self, number: int) -> None:
+        """Remove a request that was answered or cancelled.
 
         Args:
           number: The request's number.
@@ -151,54 +161,60 @@
             self.idle.set()
 
     async def send_answer(self, number: int, answer: PeerAnswer) -> None:
-        """Send an answer, in parts if it is large.
+        """Send an answer, in chunks if it is large.
 
         Args:
           number: The request's number.
-          answer: The answer; its own request number is not looked at.
+          answer: The answer; its own request number is ignored.
         """
         if is_large(answer):
-            answer = StreamedResult(answer, no_more_rows())
+            answer = StreamedResult(answer, empty_rows())
         if isinstance(answer, StreamedResult):
-            await self.send_parts(number, answer)
+            await self.send_chunks(number, answer)
         elif isinstance(answer, RequestAnswer):
-            await self.send_whole(attrs.evolve(answer, request_number=number))
+            await self.send_in_one_message(
+                attrs.evolve(answer, request_number=number)
+            )
         else:
-            self.outbox.post(RequestFailed(number, "the handler has no answer"))
+            self.message_writer.post(
+                RequestFailed(number, "the handler has no answer")
+            )
 
-    async def send_whole(self, answer: RequestAnswer) -> None:
-        """Send an answer in one piece.
+    async def send_in_one_message(self, answer: RequestAnswer) -> None:
+        """Send an answer as one message.
 
         Args:
           answer: The answer.
         """
-        if not await self.outbox.send(answer):
-            self.outbox.post(RequestFailed(answer.request_number, TOO_LARGE))
+        if not await self.message_writer.send(answer):
+            self.message_writer.post(
+                RequestFailed(answer.request_number, TOO_LARGE)
+            )
 
-    async def send_parts(self, number: int, answer: StreamedResult) -> None:
-        """Send an answer in parts.
+    async def send_chunks(self, number: int, answer: StreamedResult) -> None:
+        """Send an answer in chunks.
 
         Args:
           number: The request's number.
           answer: The answer.
         """
-        sender = ChunkSender(number, self.outbox)
+        sender = ChunkSender(number, self.message_writer)
         self.senders[number] = sender
         if not await sender.send(answer):
-            self.outbox.post(RequestFailed(number, TOO_LARGE))
+            self.message_writer.post(RequestFailed(number, TOO_LARGE))
 
     def add_credit(self, number: int, chunks: int) -> None:
-        """Allow more parts of an answer to be sent.
+        """Allow more chunks of an answer to be sent.
 
         Args:
           number: The request's number.
-          chunks: How many.
+          chunks: The number of further chunks.
         """
         if number in self.senders:
             self.senders[number].add_credit(chunks)
 
     def cancel(self, number: int) -> None:
-        """Cancel the handler of a request that nobody waits for.
+        """Cancel the handler of a request that the peer has cancelled.
 
         Args:
           number: The request's number.
@@ -207,15 +223,15 @@
             self.by_number[number].cancel()
 
     async def close(self) -> None:
-        """Cancel every handler and wait until they have ended."""
-        tasks = [*self.by_number.values(), *self.notices]
+        """Cancel all handlers and wait until they have ended."""
+        tasks = [*self.by_number.values(), *self.notifications]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
 def is_large(answer: PeerAnswer) -> typing.TypeGuard[Answer]:
-    """Return whether an answer is sent in parts.
+    """Return whether an answer has to be sent in chunks.
 
     Args:
       answer: The answer.
@@ -227,8 +243,8 @@
     return sum(map(row_size, answer.result.rows)) > CHUNK_BYTES
 
 
-async def no_more_rows() -> collections.abc.AsyncIterator[Rows]:
-    """Yield nothing."""
-    nothing: tuple[Rows, ...] = ()
-    for rows in nothing:
+async def empty_rows() -> collections.abc.AsyncIterator[Rows]:
+    """Return an iterator without rows."""
+    no_rows: tuple[Rows, ...] = ()
+    for rows in no_rows:
         yield rows
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/liveness.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/liveness.py
@@ -1,41 +1,41 @@
-"""Detection of streams that went silent."""
+"""Detection of peers that stopped responding."""
 
 import enum
 
-TICK_SECONDS = 0.25
+TICK_INTERVAL_SECONDS = 0.25
 PING_AFTER_TICKS = 2
-DEAD_AFTER_TICKS = 7
-IDLE_CHECK_AFTER_SECONDS = 5.0
-IDLE_CHECK_SECONDS = 0.5
+TIMEOUT_TICKS = 7
+IDLE_PROBE_AFTER_SECONDS = 5.0
+IDLE_PROBE_TIMEOUT_SECONDS = 0.5
 
 
 class LivenessAction(enum.Enum):
-    """What a stream has to do after a tick."""
+    """The action that a stream takes after a tick."""
 
     NONE = enum.auto()
     PING = enum.auto()
-    GIVE_UP = enum.auto()
+    DISCONNECT = enum.auto()
 
 
 class Liveness:
-    """Counts the ticks in which nothing was heard of a peer.
+    """Counts the ticks since the last frame from a peer.
 
     Ticks are counted rather than seconds, so that a pause of this process
-    is not taken for a silence of the peer.
+    does not count as silence of the peer.
     """
 
     def __init__(self) -> None:
         self.silent_ticks = 0
 
-    def heard(self) -> None:
-        """Note that a frame came in."""
+    def record_frame(self) -> None:
+        """Record that a frame was received."""
         self.silent_ticks = 0
 
     def tick(self) -> LivenessAction:
-        """Return what to do, `TICK_SECONDS` after the last call."""
+        """Count a tick of `TICK_INTERVAL_SECONDS` and return the action."""
         self.silent_ticks += 1
-        if self.silent_ticks >= DEAD_AFTER_TICKS:
-            return LivenessAction.GIVE_UP
+        if self.silent_ticks >= TIMEOUT_TICKS:
+            return LivenessAction.DISCONNECT
         if self.silent_ticks >= PING_AFTER_TICKS:
             return LivenessAction.PING
         return LivenessAction.NONE
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_server.py
@@ -1,4 +1,4 @@
-"""The port that other proxies connect to."""
+"""Server for the connections of other proxies."""
 
 import asyncio
 
@@ -6,13 +6,17 @@
 
 from jackdawcrank.peers.handshake import HandshakeFailed
 from jackdawcrank.peers.peer_handlers import PeerHandlers
-from jackdawcrank.peers.peer_links import PeerLinks
+from jackdawcrank.peers.peer_stream_pool import PeerStreamPool
 
 MAX_HANDSHAKES = 128
 
 
 class PeerServer:
-    """Accepts streams of peers that prove the shared secret."""
+    """Accepts connections and runs streams for authenticated peers.
+
+    Attributes:
+      refused: The number of connections that were refused.
+    """
 
     def __init__(
         self,
@@ -22,30 +26,31 @@
         vm: str,
         boot: str,
         handlers: PeerHandlers,
-        links: PeerLinks | None = None,
+        peer_pool: PeerStreamPool | None = None,
     ) -> None:
         """Create the server; `start` opens the port.
 
         Args:
-          host: The IP address to listen at.
-          port: The TCP port; 0 takes a free one.
+          host: The IP address to listen on.
+          port: The TCP port; 0 selects a free one.
           secret: The secret that all proxies share.
           vm: This VM.
           boot: The id of this process.
           handlers: The handlers of the peers' messages.
-          links: Takes accepted streams over, so that one stream carries both
-            ends' requests; left out, accepted streams serve the peer only.
+          peer_pool: The pool that accepted streams are added to, so that one
+            stream carries both ends' requests. If omitted, accepted streams
+            carry only the peer's requests.
         """
         self.host = host
         self.port = port
-        self.links = links or PeerLinks(vm, boot, secret, handlers)
-        self.owns_links = links is None
+        self.peer_pool = peer_pool or PeerStreamPool(vm, boot, secret, handlers)
+        self.owns_peer_pool = peer_pool is None
         self.server: asyncio.Server | None = None
         self.handshakes: set[asyncio.Task[None]] = set()
         self.refused = 0
 
     async def start(self) -> None:
-        """Open the port; `port` then holds the number."""
+        """Open the port and set `port` to its number."""
         self.server = await asyncio.start_server(
             self.on_connection, self.host, self.port
         )
@@ -54,7 +59,9 @@
     def on_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Begin the handshake of a connection, unless too many are going on.
+        """Start the handshake of a connection, or refuse the connection.
+
+        At most `MAX_HANDSHAKES` handshakes run at a time.
 
         Args:
           reader: The connection's reader.
@@ -64,34 +71,34 @@
             self.refused += 1
             writer.transport.abort()
             return
-        task = asyncio.create_task(self.admit(reader, writer))
+        task = asyncio.create_task(self.handle_connection(reader, writer))
         self.handshakes.add(task)
         task.add_done_callback(self.handshakes.discard)
 
-    async def admit(
+    async def handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Run a connection's stream if its other end proves itself.
+        """Run the handshake, and add a stream to the pool if it succeeds.
 
         Args:
           reader: The connection's reader.
           writer: The connection's writer.
         """
-        connection = await self.links.connector.accept(reader, writer)
+        connection = await self.peer_pool.connector.accept(reader, writer)
         if isinstance(connection, HandshakeFailed):
             self.refused += 1
             logging.warning("peer connection refused: %s", connection.detail)
             return
-        await self.links.adopt(connection)
+        await self.peer_pool.add_connection(connection)
 
     async def close(self) -> None:
-        """Close the port and, if they are its own, the streams."""
+        """Close the port, and the pool unless it was passed in."""
         if self.server:
             self.server.close()
         for task in list(self.handshakes):
             task.cancel()
         await asyncio.gather(*self.handshakes, return_exceptions=True)
-        if self.owns_links:
-            await self.links.close()
+        if self.owns_peer_pool:
+            await self.peer_pool.close()
         if self.server:
             await self.server.wait_closed()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_links.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/peers/peer_stream_pool.py
@@ -1,4 +1,4 @@
-"""The streams to all other proxies."""
+"""Pool of the streams to all other proxies."""
 
 import asyncio
 import collections.abc
@@ -11,7 +11,7 @@
 from jackdawcrank.peers.peer_connection import PeerConnection
 from jackdawcrank.peers.peer_handlers import PeerHandlers
 from jackdawcrank.peers.peer_identity import PeerIdentity
-from jackdawcrank.peers.peer_stream import IsWatched, PeerReply, PeerStream
+from jackdawcrank.peers.peer_stream import IsMonitored, PeerReply, PeerStream
 from jackdawcrank.peers.peer_unreachable import PeerUnreachable
 from jackdawcrank.peers.request_types import Request
 from jackdawcrank.peers.streamed_answer import StreamedAnswer
@@ -21,27 +21,27 @@
 
 MAX_RESULT_BYTES = 64 * 1024 * 1024
 MAX_ATTEMPTS = 2
-IDLE_CLOSE_SECONDS = 60.0
+IDLE_TIMEOUT_SECONDS = 60.0
 SWEEP_INTERVAL_SECONDS = 10.0
-NOTIFY_SECONDS = 2.0
+NOTIFY_TIMEOUT_SECONDS = 2.0
 
 Address = tuple[str, int]
 LostCallback = collections.abc.Callable[[str, str], None]
 
 
-class PeerLinks:
+class PeerStreamPool:
     """Keeps at most one stream in use for each peer.
 
-    A stream is dialed when it is first needed, or taken over when the peer
-    has dialed. Where both dial at once, both prefer the stream that the VM
-    with the lower name dialed; the other one ends when it is idle.
+    A stream is dialed when it is first needed, or added when the peer has
+    dialed. If both dial at the same time, both prefer the stream dialed by the
+    VM whose name sorts first; the other one is closed when it is idle.
 
     Attributes:
-      lost_callbacks: Called with a VM and a reason when the stream to it
-        breaks; a stream that either end closes in order is not lost.
-      is_watched: Returns whether something besides requests depends on a VM,
+      lost_callbacks: Called with a VM and a reason when the stream to the VM
+        breaks, but not when either end closes it gracefully.
+      is_monitored: Returns whether something besides requests depends on a VM,
         such as a transaction that one of its callers has open here.
-      config_version: The configuration version told to peers on connect.
+      config_version: The configuration version sent to peers on connect.
     """
 
     def __init__(
@@ -66,20 +66,22 @@
         self.addresses: dict[str, Address] = {}
         self.streams: dict[str, PeerStream] = {}
         self.all_streams: set[PeerStream] = set()
-        self.dials: dict[str, asyncio.Task[PeerStream | PeerUnreachable]] = {}
+        self.pending_dials: dict[
+            str, asyncio.Task[PeerStream | PeerUnreachable]
+        ] = {}
         self.backoffs: dict[str, Backoff] = {}
         self.lost_callbacks: list[LostCallback] = []
-        self.is_watched: IsWatched = lambda vm: False
-        self.closings: set[asyncio.Task[None]] = set()
+        self.is_monitored: IsMonitored = lambda vm: False
+        self.pending_closes: set[asyncio.Task[None]] = set()
         self.subscription: Subscription | None = None
         self.config_version = 0
         self.closed = False
 
     async def start(self, timer: Timer) -> None:
-        """Begin to close streams that are idle.
+        """Start closing idle streams periodically.
 
         Args:
-          timer: The timer.
+          timer: The timer that runs the periodic task.
         """
         self.subscription = timer.subscribe(
             "idle peer streams", SWEEP_INTERVAL_SECONDS, self.close_idle
@@ -88,10 +90,12 @@
     def set_addresses(
         self, addresses: collections.abc.Mapping[str, Address]
     ) -> None:
-        """Replace the peers' addresses; streams in use go on.
+        """Replace the peers' addresses; open streams are kept.
+
+        The backoff of a VM whose address changed is reset.
 
         Args:
-          addresses: Each VM's IP address and peer port.
+          addresses: The IP address and peer port of each VM.
         """
         self.backoffs = {
             vm: backoff
@@ -101,7 +105,7 @@
         self.addresses = dict(addresses)
 
     def connected(self) -> list[str]:
-        """Return the VMs to which a usable stream is open."""
+        """Return the VMs with a usable stream, in sorted order."""
         return sorted(
             vm for vm, stream in self.streams.items() if stream.usable
         )
@@ -109,33 +113,33 @@
     async def request(
         self, vm: str, message: Request, timeout: float
     ) -> Message | PeerUnreachable:
-        """Send a request and return the whole answer.
+        """Send a request and return the complete answer.
 
         Args:
-          vm: The VM to ask.
+          vm: The VM to send the request to.
           message: The request; its number is filled in.
-          timeout: When to give up, in seconds from now.
+          timeout: The timeout in seconds.
         """
-        reply = await self.open_answer(vm, message, timeout)
+        reply = await self.request_streamed(vm, message, timeout)
         if isinstance(reply, StreamedAnswer):
             return await reply.collect(MAX_RESULT_BYTES)
         return reply
 
-    async def open_answer(
+    async def request_streamed(
         self, vm: str, message: Request, timeout: float
     ) -> PeerReply:
-        """Send a request and return its answer, a large one in parts.
+        """Send a request and return its answer, in chunks if it is large.
 
-        A request that certainly reached no handler because the stream ended
-        is sent again on a new one.
+        If the stream ends and the request certainly reached no handler, it is
+        sent again on a new stream.
 
         Args:
-          vm: The VM to ask.
+          vm: The VM to send the request to.
           message: The request; its number is filled in.
-          timeout: When to give up, in seconds from now.
+          timeout: The timeout in seconds.
         """
         deadline = asyncio.get_running_loop().time() + timeout
-        reply: PeerReply = PeerUnreachable(vm, False, "not tried")
+        reply: PeerReply = PeerUnreachable(vm, False, "not attempted")
         for _ in range(MAX_ATTEMPTS):
             stream = await self.stream_to(vm, deadline)
             if isinstance(stream, PeerUnreachable):
@@ -146,17 +150,17 @@
         return reply
 
     async def notify(
-        self, vm: str, message: Message, timeout: float = NOTIFY_SECONDS
+        self, vm: str, message: Message, timeout: float = NOTIFY_TIMEOUT_SECONDS
     ) -> bool:
-        """Send a message that has no answer.
+        """Send a message that expects no answer.
 
         Args:
-          vm: The VM to tell.
+          vm: The VM to notify.
           message: The message.
-          timeout: When to give up, in seconds from now.
+          timeout: The timeout in seconds.
 
         Returns:
-          Whether it was handed to a connection.
+          Whether the message was written to a connection.
         """
         deadline = asyncio.get_running_loop().time() + timeout
         for _ in range(MAX_ATTEMPTS):
@@ -173,8 +177,8 @@
         """Send a short message to the peers with an open stream.
 
         Args:
-          message: The message; it has no answer.
-          limit: To how many of them, chosen at random; None for all.
+          message: The message, which expects no answer.
+          limit: The number of peers, chosen at random; None for all.
         """
         streams = [one for one in self.streams.values() if one.usable]
         if limit is not None and limit < len(streams):
@@ -189,32 +193,34 @@
 
         Args:
           vm: The VM.
-          deadline: When to give up, on the event loop's clock.
+          deadline: The deadline, in seconds on the event loop's clock.
         """
         stream = self.streams.get(vm)
         if stream is not None and stream.usable:
             return stream
         try:
             async with asyncio.timeout_at(deadline):
-                return await asyncio.shield(self.dialing(vm))
+                return await asyncio.shield(self.shared_dial(vm))
         except TimeoutError:
-            return PeerUnreachable(vm, False, "no connection in time")
+            return PeerUnreachable(vm, False, "connection timed out")
 
-    def dialing(self, vm: str) -> asyncio.Task[PeerStream | PeerUnreachable]:
-        """Return the dialing of a VM, which all who need it share.
+    def shared_dial(
+        self, vm: str
+    ) -> asyncio.Task[PeerStream | PeerUnreachable]:
+        """Return the dial task of a VM, shared by all its waiters.
 
         Args:
           vm: The VM.
         """
-        task = self.dials.get(vm)
+        task = self.pending_dials.get(vm)
         if task is None:
             task = asyncio.create_task(self.dial(vm))
-            self.dials[vm] = task
-            task.add_done_callback(lambda _: self.dials.pop(vm, None))
+            self.pending_dials[vm] = task
+            task.add_done_callback(lambda _: self.pending_dials.pop(vm, None))
         return task
 
     async def dial(self, vm: str) -> PeerStream | PeerUnreachable:
-        """Open a stream to a VM unless it failed a short time ago.
+        """Open a stream to a VM, unless its backoff delays the attempt.
 
         Args:
           vm: The VM.
@@ -222,19 +228,21 @@
         now = asyncio.get_running_loop().time()
         address = self.addresses.get(vm)
         if self.closed or address is None or vm == self.vm:
-            return PeerUnreachable(vm, False, "no address")
+            return PeerUnreachable(vm, False, "no address known")
         backoff = self.backoffs.setdefault(vm, Backoff(self.rng))
         if not backoff.allows(now):
-            return PeerUnreachable(vm, False, "failed a short time ago")
+            return PeerUnreachable(
+                vm, False, "backing off after a failed connection attempt"
+            )
         connection = await self.connector.dial(vm, *address)
         if isinstance(connection, HandshakeFailed):
-            backoff.failed(asyncio.get_running_loop().time())
+            backoff.record_failure(asyncio.get_running_loop().time())
             return PeerUnreachable(vm, False, connection.detail)
-        backoff.succeeded()
-        return await self.adopt(connection)
+        backoff.record_success()
+        return await self.add_connection(connection)
 
-    async def adopt(self, connection: PeerConnection) -> PeerStream:
-        """Run a stream on a proven connection.
+    async def add_connection(self, connection: PeerConnection) -> PeerStream:
+        """Run a stream on an authenticated connection.
 
         Args:
           connection: The connection, dialed or accepted.
@@ -242,11 +250,11 @@
         stream = PeerStream(
             connection,
             self.handlers,
-            self.forget,
-            self.watched,
+            self.remove_stream,
+            self.is_peer_monitored,
         )
         self.all_streams.add(stream)
-        if self.prefers(stream):
+        if self.replaces_current(stream):
             self.streams[stream.vm] = stream
         stream.post(
             Hello(self.vm, self.boot, config_version=self.config_version)
@@ -254,7 +262,7 @@
         await stream.start()
         return stream
 
-    def prefers(self, stream: PeerStream) -> bool:
+    def replaces_current(self, stream: PeerStream) -> bool:
         """Return whether a new stream replaces the one in use.
 
         Args:
@@ -271,58 +279,58 @@
             or current.connection.dialer != preferred
         )
 
-    def watched(self, vm: str) -> bool:
-        """Return whether a VM's silence matters without any request.
+    def is_peer_monitored(self, vm: str) -> bool:
+        """Return whether a VM is monitored even without open requests.
 
         Args:
           vm: The VM.
         """
-        return self.is_watched(vm)
+        return self.is_monitored(vm)
 
-    def forget(self, stream: PeerStream, detail: str) -> None:
-        """Use a lost stream no more.
+    def remove_stream(self, stream: PeerStream, detail: str) -> None:
+        """Remove a lost stream and report the loss unless it was closed.
 
         Args:
           stream: The stream.
-          detail: Why it was lost.
+          detail: Why the stream was lost.
         """
         self.all_streams.discard(stream)
         if self.streams.get(stream.vm) is not stream:
             return
         del self.streams[stream.vm]
-        if not stream.orderly:
+        if not stream.is_closing:
             for callback in self.lost_callbacks:
                 callback(stream.vm, detail)
 
     async def close_idle(self, now: float) -> None:
-        """Close the streams that were not used for a while.
+        """Close the streams unused for `IDLE_TIMEOUT_SECONDS`.
 
         Args:
-          now: The timer's time; not used, since streams keep the loop's time.
+          now: The timer's time; ignored, since streams use the loop's clock.
         """
         del now
-        limit = asyncio.get_running_loop().time() - IDLE_CLOSE_SECONDS
+        limit = asyncio.get_running_loop().time() - IDLE_TIMEOUT_SECONDS
         for stream in list(self.all_streams):
-            if stream.used_at < limit and not stream.busy:
+            if stream.last_used_at < limit and not stream.busy:
                 task = asyncio.create_task(stream.close())
-                self.closings.add(task)
-                task.add_done_callback(self.closings.discard)
+                self.pending_closes.add(task)
+                task.add_done_callback(self.pending_closes.discard)
 
     async def close(self) -> None:
-        """Answer what peers have asked, then close every stream."""
+        """Finish outstanding requests, then close all streams."""
         self.closed = True
         if self.subscription:
             self.subscription.close()
-        for dial in list(self.dials.values()):
+        for dial in list(self.pending_dials.values()):
             dial.cancel()
-        closings = [stream.close() for stream in self.all_streams]
-        await asyncio.gather(*closings, *self.closings)
+        pending_closes = [stream.close() for stream in self.all_streams]
+        await asyncio.gather(*pending_closes, *self.pending_closes)
 
 
 def is_unsent(reply: PeerReply) -> bool:
     """Return whether a request certainly reached no handler.
 
     Args:
-      reply: What became of it.
+      reply: The answer to the request, or why there is none.
     """
     return isinstance(reply, PeerUnreachable) and not reply.sent
--- a/packages/jackdawcrank-proxy/tests/peers/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/peers/conftest.py
@@ -1,4 +1,4 @@
-"""Two proxies whose streams run through a relay that can misbehave."""
+"""Fixtures: two proxies connected through a fault-injecting interceptor."""
 
 import asyncio
 import collections.abc
@@ -7,7 +7,7 @@
 
 import pytest
 
-from jackdawcrank.peers import PeerHandlers, PeerLinks, PeerServer
+from jackdawcrank.peers import PeerHandlers, PeerServer, PeerStreamPool
 from jackdawcrank_wire.codec import MsgpackCodec
 from jackdawcrank_wire.framing import FrameReader, FrameWriter, StreamEnd
 from jackdawcrank_wire.messages import (
@@ -22,12 +22,14 @@
 Hook = collections.abc.Callable[[str, Message], list[Message]]
 
 
-class Relay:
-    """Passes frames on and lets a test change, repeat or drop them.
+class FrameInterceptor:
+    """Forwards frames and lets a test change, repeat or drop them.
 
     Attributes:
-      hook: Called with the sender's side and a message; returns what to pass.
-      frozen: Whether the connections that are open pass nothing more.
+      hook: Called with the sender's side and a message; returns the messages
+        to forward.
+      blackholed: The writers that forward nothing more.
+      accepted: The number of connections accepted so far.
     """
 
     def __init__(self) -> None:
@@ -36,7 +38,7 @@
         self.hook: Hook = lambda side, message: [message]
         self.writers: list[FrameWriter] = []
         self.pumps: set[asyncio.Task[None]] = set()
-        self.silenced: set[FrameWriter] = set()
+        self.blackholed: set[FrameWriter] = set()
         self.accepted = 0
 
     async def start(self) -> None:
@@ -67,46 +69,46 @@
         while not isinstance(frame := await reader.read(), StreamEnd):
             message = self.codec.decode(frame)
             for passed in self.hook(side, typing.cast(Message, message)):
-                if writer not in self.silenced:
+                if writer not in self.blackholed:
                     writer.write(self.codec.encode(passed))
-        if writer not in self.silenced:
+        if writer not in self.blackholed:
             writer.writer.close()
 
-    def freeze(self) -> None:
-        """Pass nothing more on the connections that are open."""
-        self.silenced.update(self.writers)
+    def blackhole(self) -> None:
+        """Drop all further frames on the open connections."""
+        self.blackholed.update(self.writers)
 
-    def cut(self) -> None:
-        """Abort the connections that are open."""
+    def abort_connections(self) -> None:
+        """Abort the open connections."""
         for writer in self.writers:
             writer.abort()
 
     async def close(self) -> None:
         self.server.close()
-        self.cut()
+        self.abort_connections()
         for pump in self.pumps:
             pump.cancel()
         await asyncio.gather(*self.pumps, return_exceptions=True)
 
 
-class Backend:
-    """A handler of statements that a test can hold back."""
+class StubHandler:
+    """A statement handler whose answers a test can delay or replace."""
 
     def __init__(self) -> None:
         self.seen: list[bytes] = []
         self.cancelled: list[bytes] = []
-        self.holds: dict[bytes, asyncio.Event] = {}
+        self.release_events: dict[bytes, asyncio.Event] = {}
         self.answers: dict[bytes, typing.Any] = {}
 
-    def hold(self, sql: bytes) -> asyncio.Event:
-        return self.holds.setdefault(sql, asyncio.Event())
+    def release_event(self, sql: bytes) -> asyncio.Event:
+        return self.release_events.setdefault(sql, asyncio.Event())
 
     async def __call__(self, vm: str, message: Execute) -> typing.Any:
         sql = message.statement.sql
         self.seen.append(sql)
         try:
-            if sql in self.holds:
-                await self.holds[sql].wait()
+            if sql in self.release_events:
+                await self.release_events[sql].wait()
         except asyncio.CancelledError:
             self.cancelled.append(sql)
             raise
@@ -116,42 +118,42 @@
 
 
 class Node:
-    """One proxy's end: its server, streams and handler."""
+    """The peer server, stream pool and statement handler of one proxy."""
 
     def __init__(
         self, vm: str, boot: str = "1", secret: bytes = SECRET
     ) -> None:
         rng = random.Random(vm + boot)
         self.vm = vm
-        self.backend = Backend()
+        self.stub_handler = StubHandler()
         self.handlers = PeerHandlers()
-        self.handlers.register(Execute, self.backend)
-        self.links = PeerLinks(
+        self.handlers.register(Execute, self.stub_handler)
+        self.peer_pool = PeerStreamPool(
             vm, boot, secret, self.handlers, rng=rng, nonce_source=rng.randbytes
         )
         self.server = PeerServer(
-            "127.0.0.1", 0, secret, vm, boot, self.handlers, self.links
+            "127.0.0.1", 0, secret, vm, boot, self.handlers, self.peer_pool
         )
 
     async def start(self) -> None:
         await self.server.start()
 
-    async def ask(
+    async def execute(
         self, vm: str, sql: bytes, timeout: float = 2.0
     ) -> typing.Any:
         statement = StatementRequest("soil", sql)
-        return await self.links.request(vm, Execute(0, statement), timeout)
+        return await self.peer_pool.request(vm, Execute(0, statement), timeout)
 
     async def close(self) -> None:
         await self.server.close()
-        await self.links.close()
+        await self.peer_pool.close()
 
 
 class Pair:
-    """`vm-a`, which reaches `vm-b` through the relay."""
+    """Proxies `vm-a` and `vm-b`; `vm-a` dials through the interceptor."""
 
     def __init__(self) -> None:
-        self.relay = Relay()
+        self.interceptor = FrameInterceptor()
         self.a = Node("vm-a")
         self.b = Node("vm-b")
         self.extra: list[Node] = []
@@ -159,9 +161,11 @@
     async def start(self) -> None:
         await self.a.start()
         await self.b.start()
-        self.relay.target = self.b.server.port
-        await self.relay.start()
-        self.a.links.set_addresses({"vm-b": ("127.0.0.1", self.relay.port)})
+        self.interceptor.target = self.b.server.port
+        await self.interceptor.start()
+        self.a.peer_pool.set_addresses(
+            {"vm-b": ("127.0.0.1", self.interceptor.port)}
+        )
 
     async def add(self, vm: str, **options: typing.Any) -> Node:
         node = Node(vm, **options)
@@ -171,10 +175,10 @@
 
     async def close(self) -> None:
         for node in (self.a, self.b, *self.extra):
-            for stream in list(node.links.all_streams):
-                stream.lose("end of test")
+            for stream in list(node.peer_pool.all_streams):
+                stream.disconnect("end of test")
             await node.close()
-        await self.relay.close()
+        await self.interceptor.close()
 
 
 @pytest.fixture
@@ -192,6 +196,6 @@
             if condition():
                 return
             await asyncio.sleep(0.002)
-        raise AssertionError("the condition was never met")
+        raise AssertionError("condition not met after 2000 polls")
 
     return wait
--- a/packages/jackdawcrank-proxy/tests/peers/test_pending_requests.py
+++ b/packages/jackdawcrank-proxy/tests/peers/test_pending_requests.py
@@ -1,4 +1,4 @@
-"""Answers and refusals that belong to no request, or to another one."""
+"""Tests of answers and refusals that match no pending request."""
 
 from jackdawcrank.peers.pending_requests import PendingRequests
 from jackdawcrank_wire.codec.envelope import MESSAGE_NUMBERS
@@ -31,13 +31,13 @@
     assert not request.first.result().sent
 
 
-async def test_what_belongs_to_no_request_is_dropped() -> None:
+async def test_messages_without_a_pending_request_are_dropped() -> None:
     requests = PendingRequests("vm-b")
     request = requests.add(1, Execute)
     assert requests.resolve(Answer(2, ResultOk()))
     assert requests.add_chunk(1, ((b"row",),))
     assert requests.add_chunk(1, AnswerEnd(1))
-    requests.break_off(RequestFailed(2))
+    requests.handle_failure(RequestFailed(2))
     assert requests.dropped == 3
     assert not request.first.done()
 
@@ -48,5 +48,5 @@
     answer = Answer(1, ResultOk())
     requests.resolve(answer)
     requests.refuse(refusal(Execute))
-    requests.lose_all("silent")
+    requests.fail_all("silent")
     assert request.first.result() == answer
--- a/packages/jackdawcrank-proxy/tests/process/test_proxy.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_proxy.py
@@ -42,7 +42,7 @@
 
 async def test_a_new_version_is_told_to_a_few_peers(proxy: Proxy) -> None:
     streams: dict[str, Any] = {f"vm{n}": Stream() for n in range(1, 50)}
-    proxy.links.streams.update(streams)
+    proxy.peer_pool.streams.update(streams)
     proxy._configuration_changed(Configuration(4), ())
     told = [one.posted for one in streams.values() if one.posted]
     assert told == [[ConfigVersion(4)]] * PEERS_TOLD_OF_VERSION
@@ -51,15 +51,15 @@
 async def test_peers_are_watched_while_transactions_tie_them(
     proxy: Proxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    watched = proxy.links.watched
-    assert not watched("vm1")
+    is_peer_monitored = proxy.peer_pool.is_peer_monitored
+    assert not is_peer_monitored("vm1")
     proxy.router.pinned["t1"] = "vm1"
-    assert watched("vm1")
+    assert is_peer_monitored("vm1")
     proxy.router.pinned.clear()
     held: Any = SimpleNamespace(session_id="vm2:5f3a:7")
     home: Any = SimpleNamespace(
         group=SimpleNamespace(transactions=SimpleNamespace(open={"t1": held}))
     )
     monkeypatch.setitem(proxy.registry.homes, "ledger", home)
-    assert watched("vm2")
-    assert not watched("vm1")
+    assert is_peer_monitored("vm2")
+    assert not is_peer_monitored("vm1")
