--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/caller_session.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/caller_session.py
@@ -11,16 +11,16 @@
 from jackdawcrank.relay.transaction_view import Runner, Transaction
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
 from jackdawcrank.seams.statements import (
-    AssignValue,
     Begin,
     Commit,
     DataStatement,
-    DefineName,
-    DropName,
+    DeallocatePrepared,
+    DefinePrepared,
     ExecutePrepared,
+    InvalidStatement,
     Rollback,
+    SetSessionValue,
     Statement,
-    Unreadable,
 )
 from jackdawcrank_policy.catalog import DatabaseSpec
 from jackdawcrank_policy.sessions import PreparedStatement, SessionContext
@@ -268,7 +268,7 @@
 
 @handle.register
 async def _(
-    statement: DefineName, session: CallerSession, request_id: str
+    statement: DefinePrepared, session: CallerSession, request_id: str
 ) -> Reply:
     statements = session.memory.statements
     if len(statements) >= MAX_STATEMENTS and statement.name not in statements:
@@ -281,7 +281,7 @@
 
 @handle.register
 async def _(
-    statement: DropName, session: CallerSession, request_id: str
+    statement: DeallocatePrepared, session: CallerSession, request_id: str
 ) -> Reply:
     if session.memory.statements.pop(statement.name, None) is None:
         return session.refuse(
@@ -292,7 +292,7 @@
 
 @handle.register
 async def _(
-    statement: AssignValue, session: CallerSession, request_id: str
+    statement: SetSessionValue, session: CallerSession, request_id: str
 ) -> Reply:
     values = session.memory.values
     if len(values) >= MAX_VALUES and statement.name not in values:
@@ -303,7 +303,7 @@
 
 @handle.register
 async def _(
-    statement: Unreadable, session: CallerSession, request_id: str
+    statement: InvalidStatement, session: CallerSession, request_id: str
 ) -> Reply:
     if session.state is SessionState.IN_TRANSACTION:
         session.fail_transaction()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -6,11 +6,11 @@
 from jackdawcrank.relay.group_relay import GroupRelay, Whereabouts
 from jackdawcrank.relay.homes import Homes
 from jackdawcrank.relay.store_contact import StoreContact
-from jackdawcrank.seams.declaration_source import DeclarationFormat
+from jackdawcrank.seams.declaration_source import DeclarationDecoder
 from jackdawcrank.seams.metadata_store import (
     StoredRow,
     TableChanges,
-    TableImage,
+    TableSnapshot,
 )
 from jackdawcrank.seams.server_link import LinkOpener
 from jackdawcrank_policy.catalog import (
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        form: DeclarationFormat,
+        form: DeclarationDecoder,
         opener: LinkOpener,
         whereabouts: Whereabouts,
         contact: StoreContact,
@@ -74,7 +74,7 @@
         group = self.groups.get(spec.group)
         return (spec, group) if group else None
 
-    def declarations_read(self, image: TableImage) -> None:
+    def declarations_read(self, image: TableSnapshot) -> None:
         """Take in the table of declarations.
 
         Args:
@@ -112,7 +112,7 @@
         )
         self.regroup()
 
-    def servers_read(self, image: TableImage) -> None:
+    def servers_read(self, image: TableSnapshot) -> None:
         """Take in the whole table of servers.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
@@ -2,7 +2,11 @@
 
 import attrs
 
-from jackdawcrank.seams.commands import Command, Forward, ForwardPrepared
+from jackdawcrank.seams.commands import (
+    Command,
+    ForwardPrepared,
+    ForwardStatement,
+)
 from jackdawcrank.seams.server_link import ServerLink
 from jackdawcrank_policy.sessions import PreparedStatement, SessionContext
 from jackdawcrank_policy.values.position import Position
@@ -50,6 +54,6 @@
       needed: The position that the server must have, or None.
     """
     if execution.prepared is None:
-        return Forward(execution.request_id, execution.text, needed)
+        return ForwardStatement(execution.request_id, execution.text, needed)
     name = link.memory.names[execution.prepared]
     return ForwardPrepared(execution.request_id, name, execution.text, needed)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -12,12 +12,12 @@
 from jackdawcrank.relay.server_lane import ServerLane
 from jackdawcrank.relay.server_questions import Questioned
 from jackdawcrank.seams.commands import (
-    AskStatus,
-    Freeze,
-    StepDown,
-    Thaw,
+    Demote,
+    QueryStatus,
+    ResumeReplication,
+    SuspendReplication,
 )
-from jackdawcrank.seams.lead_authority import LeadAnswer, LeadAuthority
+from jackdawcrank.seams.lead_authority import PromotionResult, PromotionService
 from jackdawcrank.seams.replies import ServerStatus
 from jackdawcrank_policy.succession import (
     MIN_LAG_SECONDS,
@@ -86,7 +86,7 @@
         vm: str,
         process: str,
         claims: ClaimRows,
-        authority: LeadAuthority,
+        authority: PromotionService,
         log: DecisionLog,
         rng: random.Random,
     ) -> None:
@@ -237,11 +237,11 @@
         primary = self.group.primary_lane()
         if primary is None:
             return []
-        first = await self.questions.ask(primary, AskStatus())
+        first = await self.questions.ask(primary, QueryStatus())
         if first.status is None:
             return []
         replicas = self.replicas(primary)
-        answers = await self.questions.ask_all(replicas, AskStatus())
+        answers = await self.questions.ask_all(replicas, QueryStatus())
         return [
             one.status
             for one in answers
@@ -278,12 +278,14 @@
         replicas = self.replicas(old)
         if await self.adopt_leader(replicas):
             return Result.NOTHING_DONE
-        answers = await self.questions.ask_all(replicas, AskStatus())
+        answers = await self.questions.ask_all(replicas, QueryStatus())
         term = max(
             [self.next_term()]
             + [one.status.term + 1 for one in answers if one.status]
         )
-        answers = await self.questions.ask_all(replicas, Freeze(term))
+        answers = await self.questions.ask_all(
+            replicas, SuspendReplication(term)
+        )
         choice = choose_successor(
             [
                 FrozenServer(
@@ -329,7 +331,8 @@
     async def thaw(self, frozen: list[Questioned]) -> None:
         """Let frozen replicas receive again."""
         await self.questions.ask_all(
-            [one.lane for one in frozen if one.status is not None], Thaw()
+            [one.lane for one in frozen if one.status is not None],
+            ResumeReplication(),
         )
 
     async def order(
@@ -355,10 +358,10 @@
                 token=claim.token,
                 answer=answer.value,
             )
-            if answer is LeadAnswer.DONE:
+            if answer is PromotionResult.DONE:
                 return await self.see_through(server_id, frozen)
-            unanswered = unanswered or answer is LeadAnswer.UNANSWERED
-            if answer is LeadAnswer.REFUSED:
+            unanswered = unanswered or answer is PromotionResult.UNANSWERED
+            if answer is PromotionResult.REFUSED:
                 # Another holder is in charge, or the server does not run.
                 return Result.UNANSWERED if unanswered else Result.NOTHING_DONE
             if self.loop.time() >= give_up_at:
@@ -431,13 +434,13 @@
             await self.look_for_primary()
             return Result.NOTHING_DONE
         staying = [one for one in self.replicas(old) if not one.server.leaving]
-        answers = await self.questions.ask_all(staying, AskStatus())
+        answers = await self.questions.ask_all(staying, QueryStatus())
         if not any(one.status for one in answers):
             self.log.event("no_successor", group=self.group.name, missing=())
             return Result.NOTHING_DONE
         terms = [one.status.term + 1 for one in answers if one.status]
         term = max([self.next_term(), *terms])
-        stepped = await self.questions.ask(old, StepDown(term))
+        stepped = await self.questions.ask(old, Demote(term))
         if stepped.status is None:
             return await self.take_over(granted, old)
         final = stepped.status.received
@@ -455,7 +458,7 @@
         """Return the first server that has received a position, or None."""
         give_up_at = self.loop.time() + CATCH_UP_SECONDS
         while self.loop.time() < give_up_at:
-            answers = await self.questions.ask_all(lanes, AskStatus())
+            answers = await self.questions.ask_all(lanes, QueryStatus())
             able = [
                 one.lane
                 for one in answers
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_messages.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_messages.py
@@ -14,7 +14,7 @@
 from jackdawcrank.seams.metadata_store import (
     StoredRow,
     TableChanges,
-    TableImage,
+    TableSnapshot,
 )
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
 from jackdawcrank_policy.catalog import Consistency, DatabaseSpec
@@ -180,15 +180,15 @@
     return tuple(StoredRow(*row) for row in fields)
 
 
-def encode_image(image: TableImage) -> Fields:
+def encode_image(image: TableSnapshot) -> Fields:
     """Return a table as sent."""
     return [encode_rows(image.rows), image.revision, image.store_seconds]
 
 
-def decode_image(fields: Fields) -> TableImage:
+def decode_image(fields: Fields) -> TableSnapshot:
     """Return the table that was sent."""
     rows, revision, store_seconds = fields
-    return TableImage(decode_rows(rows), revision, store_seconds)
+    return TableSnapshot(decode_rows(rows), revision, store_seconds)
 
 
 def encode_changes(changes: TableChanges) -> Fields:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
@@ -79,13 +79,13 @@
         homes: Homes,
         log: DecisionLog,
         followers: Mapping[str, TableFollower],
-        notice_dead_peer: Callable[[asyncio.BaseTransport], None],
+        detect_dead_peer: Callable[[asyncio.BaseTransport], None],
     ) -> None:
         self.local = local
         self.homes = homes
         self.log = log
         self.followers = followers
-        self.notice_dead_peer = notice_dead_peer
+        self.detect_dead_peer = detect_dead_peer
         self.routes: dict[str, Route] = {}
         self.loop = asyncio.get_running_loop()
 
@@ -253,7 +253,7 @@
         """Connect to a home."""
         try:
             route.stream = await open_stream(
-                member, self.followers, self.notice_dead_peer
+                member, self.followers, self.detect_dead_peer
             )
         finally:
             route.opening = None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
@@ -97,7 +97,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the connection."""
         super().connection_made(transport)
-        self.home.notice_dead_peer(transport)
+        self.home.detect_dead_peer(transport)
         self.home.connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -236,7 +236,7 @@
         runner: StatementRunner,
         directory: Directory,
         log: DecisionLog,
-        notice_dead_peer: Callable[[asyncio.BaseTransport], None],
+        detect_dead_peer: Callable[[asyncio.BaseTransport], None],
         teller: TableTeller,
     ) -> None:
         self.host = host
@@ -244,7 +244,7 @@
         self.runner = runner
         self.directory = directory
         self.log = log
-        self.notice_dead_peer = notice_dead_peer
+        self.detect_dead_peer = detect_dead_peer
         self.teller = teller
         self.connections: set[HomeConnection] = set()
         self.wanted = asyncio.Event()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
@@ -66,11 +66,11 @@
     def __init__(
         self,
         followers: Mapping[str, TableFollower],
-        notice_dead_peer: Callable[[asyncio.BaseTransport], None],
+        detect_dead_peer: Callable[[asyncio.BaseTransport], None],
     ) -> None:
         super().__init__()
         self.followers = followers
-        self.notice_dead_peer = notice_dead_peer
+        self.detect_dead_peer = detect_dead_peer
         self.leaving = False
         self.asked: set[str] = set()
         self.asked_at = 0.0
@@ -82,7 +82,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the connection."""
         super().connection_made(transport)
-        self.notice_dead_peer(transport)
+        self.detect_dead_peer(transport)
 
     def follow(self, tables: Iterable[str]) -> None:
         """Ask to be told tables, unless that was asked before.
@@ -190,20 +190,20 @@
 async def open_stream(
     member: Member,
     followers: Mapping[str, TableFollower],
-    notice_dead_peer: Callable[[asyncio.BaseTransport], None],
+    detect_dead_peer: Callable[[asyncio.BaseTransport], None],
 ) -> HomeStream | None:
     """Connect to a home; None if it cannot be reached.
 
     Args:
       member: The home.
       followers: What takes in the tables that the home tells.
-      notice_dead_peer: Sets the connection's options.
+      detect_dead_peer: Sets the connection's options.
     """
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(CONNECT_SECONDS):
             _, stream = await loop.create_connection(
-                lambda: HomeStream(followers, notice_dead_peer),
+                lambda: HomeStream(followers, detect_dead_peer),
                 member.host,
                 member.port,
             )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/idle_transactions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/idle_transactions.py
@@ -2,7 +2,7 @@
 
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.directory import Directory
-from jackdawcrank.seams.caller_front import CallerFront
+from jackdawcrank.seams.caller_front import CallerFrontend
 from jackdawcrank.seams.replies import SessionState
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
@@ -22,7 +22,7 @@
     """
 
     def __init__(
-        self, directory: Directory, front: CallerFront, log: DecisionLog
+        self, directory: Directory, front: CallerFrontend, log: DecisionLog
     ) -> None:
         self.directory = directory
         self.front = front
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/leaving.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/leaving.py
@@ -4,7 +4,7 @@
 
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.home_server import HomeServer
-from jackdawcrank.seams.caller_front import CallerFront
+from jackdawcrank.seams.caller_front import CallerFrontend
 from jackdawcrank.seams.replies import SessionState
 
 # The balancer looks once a second and takes a VM out after two misses.
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        front: CallerFront,
+        front: CallerFrontend,
         home_server: HomeServer,
         grace_seconds: float,
         log: DecisionLog,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
@@ -9,12 +9,12 @@
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.seams.metadata_store import (
     MetadataStore,
-    RowChangedMeanwhile,
+    RevisionConflict,
     RowWritten,
     StoredRow,
     StoreFailure,
     TableChanges,
-    TableImage,
+    TableSnapshot,
 )
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
@@ -100,7 +100,7 @@
         """Take the rows that are known now for all of them."""
         self.known = True
 
-    def image_read(self, image: TableImage) -> None:
+    def image_read(self, image: TableSnapshot) -> None:
         """Take in the whole table, and write the own row if need be.
 
         Args:
@@ -198,13 +198,13 @@
             return
         if isinstance(written, StoreFailure):
             self.log.event("member_unwritten", detail=written.detail)
-        if isinstance(written, RowChangedMeanwhile):
+        if isinstance(written, RevisionConflict):
             await self.read_own()
         self.write_soon(RETRY_SECONDS * self.rng.uniform(0.5, 1.5))
 
     async def read_own(self) -> None:
         """Read the own row, which somebody else has written."""
         image = await self.store.read_table(MEMBERS_TABLE, self.own.vm)
-        if isinstance(image, TableImage):
+        if isinstance(image, TableSnapshot):
             for row in image.rows:
                 self.row_read(row)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -15,7 +15,11 @@
 from jackdawcrank.relay.full_server import pause_seconds
 from jackdawcrank.relay.server_lane import ServerLane
 from jackdawcrank.relay.session_view import SessionView
-from jackdawcrank.seams.commands import Command, ForwardCommit, UndoTransaction
+from jackdawcrank.seams.commands import (
+    Command,
+    ForwardCommit,
+    RollbackTransaction,
+)
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
 from jackdawcrank.seams.server_link import ServerLink
 
@@ -266,7 +270,7 @@
             return
         self.ended = True
         give_back_after(
-            self.lane, self.link, self.link.send([UndoTransaction()])[0]
+            self.lane, self.link, self.link.send([RollbackTransaction()])[0]
         )
 
     def release(self) -> None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -28,9 +28,9 @@
 from jackdawcrank.relay.table_follower import TableFollower
 from jackdawcrank.relay.table_teller import TableTeller
 from jackdawcrank.relay.watch_contacts import WatchContacts
-from jackdawcrank.seams.caller_front import CallerFront
-from jackdawcrank.seams.declaration_source import DeclarationFormat
-from jackdawcrank.seams.lead_authority import LeadAuthority
+from jackdawcrank.seams.caller_front import CallerFrontend
+from jackdawcrank.seams.declaration_source import DeclarationDecoder
+from jackdawcrank.seams.lead_authority import PromotionService
 from jackdawcrank.seams.metadata_store import MetadataStore
 from jackdawcrank.seams.server_link import LinkOpener
 from jackdawcrank.timer import TimerService
@@ -64,12 +64,12 @@
         self,
         settings: RelaySettings,
         store: MetadataStore,
-        form: DeclarationFormat,
+        form: DeclarationDecoder,
         opener: LinkOpener,
-        authority: LeadAuthority,
-        front: CallerFront,
+        authority: PromotionService,
+        front: CallerFrontend,
         log: DecisionLog,
-        notice_dead_peer: Callable[[asyncio.BaseTransport], None],
+        detect_dead_peer: Callable[[asyncio.BaseTransport], None],
     ) -> None:
         rng = random.Random()
         self.settings = settings
@@ -132,7 +132,7 @@
         self.members.store_seconds = self.followers[MEMBERS_TABLE].store_seconds
         runner = StatementRunner(self.directory, log)
         self.router = HomeRouter(
-            runner, self.homes, log, self.followers, notice_dead_peer
+            runner, self.homes, log, self.followers, detect_dead_peer
         )
         self.teller = TableTeller(self.followers.values())
         self.contacts = WatchContacts(
@@ -144,7 +144,7 @@
             runner,
             self.directory,
             log,
-            notice_dead_peer,
+            detect_dead_peer,
             self.teller,
         )
         # A restarted process must not take its predecessor's claim for its
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
@@ -9,9 +9,9 @@
 from jackdawcrank.relay.clocks import boot_seconds
 from jackdawcrank.relay.server_lane import ServerLane
 from jackdawcrank.seams.commands import (
+    BeginTransaction,
     Command,
-    OpenTransaction,
-    UndoTransaction,
+    RollbackTransaction,
 )
 from jackdawcrank.seams.replies import Problem, Reply, ServerStatus
 from jackdawcrank.seams.server_link import (
@@ -88,7 +88,9 @@
             return LeadReply(lane, link.failure is OpenFailure.FULL)
         sent_at = boot_seconds()
         replies = await self.exchange(
-            lane, link, [OpenTransaction(read_only=False), UndoTransaction()]
+            lane,
+            link,
+            [BeginTransaction(read_only=False), RollbackTransaction()],
         )
         if replies is None:
             return LeadReply(lane, alive=False)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -352,9 +352,9 @@
         lane, link = leased
         batch = setup_commands(link, session.memory, execution)
         opening = len(batch)
-        batch.append(commands.OpenTransaction(read_only=False))
+        batch.append(commands.BeginTransaction(read_only=False))
         batch.append(forward_command(link, execution))
-        batch.append(commands.UndoTransaction())
+        batch.append(commands.RollbackTransaction())
         sent_at = boot_seconds()
         futures = link.send(batch)
         reply = await self.read_reply(group, lane, link, futures[-2], attempts)
@@ -452,7 +452,7 @@
             link = found
         batch = setup_commands(link, session.memory, execution)
         batch.append(
-            commands.OpenTransaction(read_only=not on_primary, needed=needed)
+            commands.BeginTransaction(read_only=not on_primary, needed=needed)
         )
         start = self.loop.time()
         limit = self.attempt_seconds(lane, attempts, start)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
@@ -6,7 +6,7 @@
 from jackdawcrank.relay.claim_rows import ClaimRows
 from jackdawcrank.relay.directory import Directory
 from jackdawcrank.relay.group_succession import GroupSuccession
-from jackdawcrank.seams.lead_authority import LeadAuthority
+from jackdawcrank.seams.lead_authority import PromotionService
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
 
@@ -28,7 +28,7 @@
         vm: str,
         process: str,
         claims: ClaimRows,
-        authority: LeadAuthority,
+        authority: PromotionService,
         log: DecisionLog,
         rng: random.Random,
     ) -> None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
@@ -8,12 +8,12 @@
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.store_contact import StoreContact
 from jackdawcrank.seams.metadata_store import (
-    HistoryGone,
+    HistoryTrimmed,
     MetadataStore,
     StoredRow,
     StoreFailure,
     TableChanges,
-    TableImage,
+    TableSnapshot,
 )
 from jackdawcrank_policy.retry.backoff import backoff_seconds
 
@@ -76,7 +76,7 @@
         table: str,
         wait_seconds: float,
         settle_seconds: float,
-        on_image: Callable[[TableImage], None],
+        on_image: Callable[[TableSnapshot], None],
         on_changes: Callable[[TableChanges], None],
         contact: StoreContact,
         log: DecisionLog,
@@ -168,7 +168,7 @@
             await self.failed(changes)
             return
         self.answered()
-        if isinstance(changes, HistoryGone):
+        if isinstance(changes, HistoryTrimmed):
             self.log.event("history_gone", table=self.table, after=revision)
             self.must_read = True
             return
@@ -176,7 +176,7 @@
         if changes.rows or changes.removed:
             await asyncio.sleep(COALESCE_SECONDS)
 
-    def take_image(self, image: TableImage) -> None:
+    def take_image(self, image: TableSnapshot) -> None:
         """Take in the whole table, read here or told by another proxy.
 
         Args:
@@ -220,11 +220,11 @@
         if self.revision is not None:
             self.revision = max(self.revision, revision)
 
-    def image(self) -> TableImage | None:
+    def image(self) -> TableSnapshot | None:
         """Return the table as it is known here; None before the first read."""
         if self.revision is None:
             return None
-        return TableImage(
+        return TableSnapshot(
             tuple(self.rows.values()), self.told_revision, self.store_seconds()
         )
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/caller_front.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/caller_front.py
@@ -5,7 +5,7 @@
 from jackdawcrank.relay.caller_session import CallerSession
 
 
-class SessionSource(typing.Protocol):
+class SessionFactory(typing.Protocol):
     """Makes a session for a caller that has connected."""
 
     async def open_session(self, database: str) -> CallerSession | None:
@@ -19,10 +19,10 @@
         """Return whether new callers should be sent here."""
 
 
-class CallerFront(typing.Protocol):
+class CallerFrontend(typing.Protocol):
     """Accepts callers and carries their statements to sessions."""
 
-    async def start(self, sessions: SessionSource) -> None:
+    async def start(self, sessions: SessionFactory) -> None:
         """Begin to accept callers.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/commands.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/commands.py
@@ -7,7 +7,7 @@
 
 
 @attrs.frozen
-class Forward:
+class ForwardStatement:
     """A caller's statement, under the caller's request id.
 
     Attributes:
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class OpenTransaction:
+class BeginTransaction:
     """Opens a transaction.
 
     Attributes:
@@ -63,17 +63,17 @@
 
 
 @attrs.frozen
-class UndoTransaction:
+class RollbackTransaction:
     """Rolls the open transaction back."""
 
 
 @attrs.frozen
-class AskStatus:
+class QueryStatus:
     """Asks for role, term and position."""
 
 
 @attrs.frozen
-class Freeze:
+class SuspendReplication:
     """Stops a replica from receiving.
 
     Attributes:
@@ -84,12 +84,12 @@
 
 
 @attrs.frozen
-class Thaw:
+class ResumeReplication:
     """Lets a frozen replica receive again."""
 
 
 @attrs.frozen
-class StepDown:
+class Demote:
     """Makes the primary of a lower term a replica.
 
     Attributes:
@@ -100,14 +100,14 @@
 
 
 Command = (
-    Forward
+    ForwardStatement
     | ForwardPrepared
     | ForwardCommit
-    | OpenTransaction
-    | UndoTransaction
-    | AskStatus
-    | Freeze
-    | Thaw
-    | StepDown
+    | BeginTransaction
+    | RollbackTransaction
+    | QueryStatus
+    | SuspendReplication
+    | ResumeReplication
+    | Demote
     | SetupStep
 )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/declaration_source.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/declaration_source.py
@@ -6,7 +6,7 @@
 from jackdawcrank_policy.catalog import Declarations, ListedServer
 
 
-class DeclarationFormat(typing.Protocol):
+class DeclarationDecoder(typing.Protocol):
     """Where declarations lie in the store, and what their rows mean.
 
     Attributes:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/lead_authority.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/lead_authority.py
@@ -4,7 +4,7 @@
 import typing
 
 
-class LeadAnswer(enum.Enum):
+class PromotionResult(enum.Enum):
     """What became of an order to promote."""
 
     DONE = "done"
@@ -16,12 +16,12 @@
     """It may have been carried out, or may still be."""
 
 
-class LeadAuthority(typing.Protocol):
+class PromotionService(typing.Protocol):
     """Promotes servers; of two orders it refuses the one of a lower token."""
 
     async def promote(
         self, group: str, server_id: str, holder: str, token: int
-    ) -> LeadAnswer:
+    ) -> PromotionResult:
         """Make a server the primary of the next term.
 
         Naming the present primary changes nothing, but shuts lower tokens
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/metadata_store.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/metadata_store.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class TableImage:
+class TableSnapshot:
     """All rows of a table at one moment.
 
     Attributes:
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class HistoryGone:
+class HistoryTrimmed:
     """The changes asked for are no longer kept; read the table anew."""
 
 
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen
-class RowChangedMeanwhile:
+class RevisionConflict:
     """The row was not as the write required; nothing was written."""
 
 
@@ -89,7 +89,7 @@
 
     async def read_table(
         self, table: str, key: str | None = None
-    ) -> TableImage | StoreFailure:
+    ) -> TableSnapshot | StoreFailure:
         """Return a table's rows.
 
         Args:
@@ -99,7 +99,7 @@
 
     async def follow(
         self, table: str, after: int, wait_seconds: float
-    ) -> TableChanges | HistoryGone | StoreFailure:
+    ) -> TableChanges | HistoryTrimmed | StoreFailure:
         """Wait for changes of a table.
 
         Args:
@@ -110,7 +110,7 @@
 
     async def replace_row(
         self, table: str, key: str, value: bytes, revision: int
-    ) -> RowWritten | RowChangedMeanwhile | StoreFailure:
+    ) -> RowWritten | RevisionConflict | StoreFailure:
         """Write a row if it is still at a revision.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/statements.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/statements.py
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class DefineName:
+class DefinePrepared:
     """Prepares a statement.
 
     Attributes:
@@ -66,7 +66,7 @@
 
 
 @attrs.frozen
-class DropName:
+class DeallocatePrepared:
     """Forgets a prepared statement.
 
     Attributes:
@@ -77,7 +77,7 @@
 
 
 @attrs.frozen
-class AssignValue:
+class SetSessionValue:
     """Sets a session value.
 
     Attributes:
@@ -90,7 +90,7 @@
 
 
 @attrs.frozen
-class Unreadable:
+class InvalidStatement:
     """A text that is no statement.
 
     Attributes:
@@ -106,8 +106,8 @@
     | Rollback
     | DataStatement
     | ExecutePrepared
-    | DefineName
-    | DropName
-    | AssignValue
-    | Unreadable
+    | DefinePrepared
+    | DeallocatePrepared
+    | SetSessionValue
+    | InvalidStatement
 )
--- a/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
@@ -10,7 +10,7 @@
 from jackdawcrank.relay.open_transaction import OpenTransaction
 from jackdawcrank.relay.server_lane import ServerLane
 from jackdawcrank.relay.session_view import SessionView
-from jackdawcrank.seams.commands import UndoTransaction
+from jackdawcrank.seams.commands import RollbackTransaction
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
 from jackdawcrank_policy.sessions import SessionContext
 
@@ -100,4 +100,4 @@
 
 def undone(transaction: OpenTransaction) -> bool:
     link = typing.cast(FakeLink, transaction.link)
-    return [command for command, _ in link.sent] == [UndoTransaction()]
+    return [command for command, _ in link.sent] == [RollbackTransaction()]
--- a/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
@@ -10,11 +10,11 @@
 from jackdawcrank.relay.table_follower import TableFollower
 from jackdawcrank.relay.table_teller import TableTeller
 from jackdawcrank.seams.metadata_store import (
-    HistoryGone,
+    HistoryTrimmed,
     StoredRow,
     StoreFailure,
     TableChanges,
-    TableImage,
+    TableSnapshot,
 )
 
 from .conftest import settle
@@ -24,8 +24,8 @@
 class FakeStore:
     """Answers what the test puts in, and otherwise nothing."""
 
-    image: TableImage | StoreFailure = TableImage((), 5, 100.0)
-    answers: asyncio.Queue[TableChanges | HistoryGone | StoreFailure] = (
+    image: TableSnapshot | StoreFailure = TableSnapshot((), 5, 100.0)
+    answers: asyncio.Queue[TableChanges | HistoryTrimmed | StoreFailure] = (
         attrs.Factory(asyncio.Queue)
     )
     reads: int = 0
@@ -33,13 +33,13 @@
 
     async def read_table(
         self, table: str, key: str | None = None
-    ) -> TableImage | StoreFailure:
+    ) -> TableSnapshot | StoreFailure:
         self.reads += 1
         return self.image
 
     async def follow(
         self, table: str, after: int, wait_seconds: float
-    ) -> TableChanges | HistoryGone | StoreFailure:
+    ) -> TableChanges | HistoryTrimmed | StoreFailure:
         self.asked_after.append(after)
         return await self.answers.get()
 
@@ -84,7 +84,7 @@
 async def test_changes_follow_the_image(
     follower: TableFollower, store: FakeStore
 ) -> None:
-    store.image = TableImage((row("a", 3),), 5, 100.0)
+    store.image = TableSnapshot((row("a", 3),), 5, 100.0)
     await follower.start()
     await settle()
     store.answers.put_nowait(TableChanges((row("b", 7),), ("a",), 7))
@@ -94,9 +94,9 @@
 
 
 async def test_older_news_changes_nothing(follower: TableFollower) -> None:
-    follower.take_image(TableImage((row("a", 8),), 9, 100.0))
+    follower.take_image(TableSnapshot((row("a", 8),), 9, 100.0))
     follower.take_changes(TableChanges((), ("a",), 7))
-    follower.take_image(TableImage((), 9, 100.0))
+    follower.take_image(TableSnapshot((), 9, 100.0))
     assert set(follower.rows) == {"a"}
 
 
@@ -106,8 +106,8 @@
     await follower.start()
     await settle()
     follower.vouched = lambda _table: True
-    store.image = TableImage((row("a", 30),), 31, 130.0)
-    store.answers.put_nowait(HistoryGone())
+    store.image = TableSnapshot((row("a", 30),), 31, 130.0)
+    store.answers.put_nowait(HistoryTrimmed())
     await settle()
     assert store.reads == 2
     assert (follower.revision, set(follower.rows)) == (31, {"a"})
@@ -116,7 +116,7 @@
 async def test_nothing_is_asked_of_the_store_while_others_vouch(
     follower: TableFollower, store: FakeStore
 ) -> None:
-    follower.take_image(TableImage((), 5, 100.0))
+    follower.take_image(TableSnapshot((), 5, 100.0))
     follower.vouched = lambda _table: True
     await follower.start()
     await settle()
@@ -127,7 +127,7 @@
 async def test_news_name_the_revision_that_they_follow(
     follower: TableFollower,
 ) -> None:
-    follower.take_image(TableImage((), 5, 100.0))
+    follower.take_image(TableSnapshot((), 5, 100.0))
     # Nothing of this table changed up to 9.
     follower.take_changes(TableChanges((), (), 9))
     follower.take_revision(12)
@@ -143,7 +143,7 @@
     early, late = FakeListener(), FakeListener()
     teller.listen(early, ["op", "nonsense"])
     assert early.sent == []
-    follower.take_image(TableImage((row("a", 3),), 5, 100.0))
+    follower.take_image(TableSnapshot((row("a", 3),), 5, 100.0))
     follower.take_changes(TableChanges((row("b", 7),), (), 7))
     teller.listen(late, ["op"])
     # Image and change; image and the vouch for it.
@@ -157,7 +157,7 @@
     follower: TableFollower,
 ) -> None:
     teller, listener = TableTeller([follower]), FakeListener()
-    follower.take_image(TableImage((), 5, 100.0))
+    follower.take_image(TableSnapshot((), 5, 100.0))
     follower.vouched = lambda _table: True
     teller.listen(listener, ["op"])
     await teller.vouch_to_all(0.0)
