--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -6,7 +6,7 @@
 from jackdawcrank.relay.group_relay import GroupRelay, Whereabouts
 from jackdawcrank.relay.homes import Homes
 from jackdawcrank.relay.store_contact import StoreContact
-from jackdawcrank.seams.declaration_source import DeclarationDecoder
+from jackdawcrank.seams.declaration_decoder import DeclarationDecoder
 from jackdawcrank.seams.metadata_store import (
     StoredRow,
     TableChanges,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -17,7 +17,10 @@
     ResumeReplication,
     SuspendReplication,
 )
-from jackdawcrank.seams.lead_authority import PromotionResult, PromotionService
+from jackdawcrank.seams.promotion_service import (
+    PromotionResult,
+    PromotionService,
+)
 from jackdawcrank.seams.replies import ServerStatus
 from jackdawcrank_policy.succession import (
     MIN_LAG_SECONDS,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/idle_transactions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/idle_transactions.py
@@ -2,7 +2,7 @@
 
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.directory import Directory
-from jackdawcrank.seams.caller_front import CallerFrontend
+from jackdawcrank.seams.caller_frontend import CallerFrontend
 from jackdawcrank.seams.replies import SessionState
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/leaving.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/leaving.py
@@ -4,7 +4,7 @@
 
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.home_server import HomeServer
-from jackdawcrank.seams.caller_front import CallerFrontend
+from jackdawcrank.seams.caller_frontend import CallerFrontend
 from jackdawcrank.seams.replies import SessionState
 
 # The balancer looks once a second and takes a VM out after two misses.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -28,10 +28,10 @@
 from jackdawcrank.relay.table_follower import TableFollower
 from jackdawcrank.relay.table_teller import TableTeller
 from jackdawcrank.relay.watch_contacts import WatchContacts
-from jackdawcrank.seams.caller_front import CallerFrontend
-from jackdawcrank.seams.declaration_source import DeclarationDecoder
-from jackdawcrank.seams.lead_authority import PromotionService
+from jackdawcrank.seams.caller_frontend import CallerFrontend
+from jackdawcrank.seams.declaration_decoder import DeclarationDecoder
 from jackdawcrank.seams.metadata_store import MetadataStore
+from jackdawcrank.seams.promotion_service import PromotionService
 from jackdawcrank.seams.server_link import LinkOpener
 from jackdawcrank.timer import TimerService
 from jackdawcrank_policy.homes import Member
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
@@ -6,7 +6,7 @@
 from jackdawcrank.relay.claim_rows import ClaimRows
 from jackdawcrank.relay.directory import Directory
 from jackdawcrank.relay.group_succession import GroupSuccession
-from jackdawcrank.seams.lead_authority import PromotionService
+from jackdawcrank.seams.promotion_service import PromotionService
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
 
