--- a/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/decision_log.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/decision_log.py
@@ -13,9 +13,9 @@
 # Lines wait at most this long, so that a crash loses little.
 FLUSH_SECONDS = 0.2
 # About 200 bytes a line: 400 KB where standard output is not read.
-MAX_WAITING_LINES = 2_000
+MAX_BUFFERED_LINES = 2_000
 # Ordinary lines in one flush interval; what goes wrong is always kept.
-MAX_ORDINARY_LINES = 40
+MAX_ROUTINE_LINES = 40
 STANDARD_OUTPUT = 1
 
 
@@ -28,8 +28,8 @@
     Attributes:
       vm: The process's name in every line.
       measurements: Counts the events and the answers.
-      waiting: Lines that are not written yet.
-      ordinary: Ordinary lines since the last flush.
+      pending: Lines that are not written yet.
+      routine_count: Ordinary lines since the last flush.
       dropped: Lines that were left out since the last report of it.
     """
 
@@ -37,10 +37,10 @@
         self.vm = vm
         self.measurements = Measurements()
         self.descriptor = descriptor
-        self.waiting: collections.deque[bytes] = collections.deque()
-        self.ordinary = 0
+        self.pending: collections.deque[bytes] = collections.deque()
+        self.routine_count = 0
         self.dropped = 0
-        self.rest = b""
+        self.unwritten = b""
         self.subscription: Subscription | None = None
 
     async def start(self, timer: Timer) -> None:
@@ -68,16 +68,16 @@
           **fields: The inputs that decided it, and the outcome.
         """
         self.measurements.event(name)
-        self.keep(name, fields)
+        self.enqueue(name, fields)
 
-    def keep(self, name: str, fields: dict[str, typing.Any]) -> None:
+    def enqueue(self, name: str, fields: dict[str, typing.Any]) -> None:
         """Keep a line if the buffer has room."""
-        if len(self.waiting) >= MAX_WAITING_LINES:
+        if len(self.pending) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             return
         line = {"at": round(time.time(), 3), "vm": self.vm, "event": name}
         line.update(fields)
-        self.waiting.append(json.dumps(line, default=str).encode() + b"\n")
+        self.pending.append(json.dumps(line, default=str).encode() + b"\n")
 
     def routine(self, name: str, **fields: typing.Any) -> None:
         """Keep a line about an ordinary decision, if there are few.
@@ -87,11 +87,11 @@
           **fields: The inputs that decided it, and the outcome.
         """
         self.measurements.event(name)
-        self.ordinary += 1
-        if self.ordinary > MAX_ORDINARY_LINES:
+        self.routine_count += 1
+        if self.routine_count > MAX_ROUTINE_LINES:
             self.dropped += 1
             return
-        self.keep(name, fields)
+        self.enqueue(name, fields)
 
     async def flush(self, _now: float) -> None:
         """Write as much as the reader takes.
@@ -103,22 +103,22 @@
 
     def write_out(self) -> None:
         """Write as much as the reader takes."""
-        self.ordinary = 0
-        if self.dropped and len(self.waiting) < MAX_WAITING_LINES:
+        self.routine_count = 0
+        if self.dropped and len(self.pending) < MAX_BUFFERED_LINES:
             count, self.dropped = self.dropped, 0
             self.event("lines_dropped", count=count)
-        self.rest += b"".join(self.waiting)
-        self.waiting.clear()
-        if not self.rest:
+        self.unwritten += b"".join(self.pending)
+        self.pending.clear()
+        if not self.unwritten:
             return
         try:
-            written = os.write(self.descriptor, self.rest)
+            written = os.write(self.descriptor, self.unwritten)
         except BlockingIOError:
             written = 0
         except OSError:
             # Nobody reads any more; there is nowhere to say so.
-            written = len(self.rest)
-        self.rest = self.rest[written:]
-        if len(self.rest) > MAX_WAITING_LINES * 200:
-            self.dropped += self.rest.count(b"\n")
-            self.rest = b""
+            written = len(self.unwritten)
+        self.unwritten = self.unwritten[written:]
+        if len(self.unwritten) > MAX_BUFFERED_LINES * 200:
+            self.dropped += self.unwritten.count(b"\n")
+            self.unwritten = b""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/measurements.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/measurements.py
@@ -69,17 +69,17 @@
 
     def counter_lines(self) -> Iterator[str]:
         """Return the counters' lines."""
-        yield from heading(EVENTS_TOTAL, "counter")
+        yield from metric_header(EVENTS_TOTAL, "counter")
         for name, count in sorted(self.events.items()):
             yield f'{EVENTS_TOTAL.name}{{event="{name}"}} {count}'
-        yield from heading(ANSWERS_TOTAL, "counter")
+        yield from metric_header(ANSWERS_TOTAL, "counter")
         for (database, outcome), count in sorted(self.answers.items()):
             labels = f'database="{escape(database)}",outcome="{outcome}"'
             yield f"{ANSWERS_TOTAL.name}{{{labels}}} {count}"
 
     def histogram_lines(self) -> Iterator[str]:
         """Return the histograms' lines."""
-        yield from heading(ANSWER_SECONDS, "histogram")
+        yield from metric_header(ANSWER_SECONDS, "histogram")
         for database, histogram in sorted(self.seconds.items()):
             label = f'database="{escape(database)}"'
             recorded = [
@@ -93,13 +93,15 @@
                     f'{{{label},le="{bound / 1000}"}} {count}'
                 )
             total = sum(count for _, count in recorded)
-            spent = sum(value * count for value, count in recorded) / 1_000
+            total_seconds = (
+                sum(value * count for value, count in recorded) / 1_000
+            )
             yield (f'{ANSWER_SECONDS.name}_bucket{{{label},le="+Inf"}} {total}')
-            yield f"{ANSWER_SECONDS.name}_sum{{{label}}} {spent}"
+            yield f"{ANSWER_SECONDS.name}_sum{{{label}}} {total_seconds}"
             yield f"{ANSWER_SECONDS.name}_count{{{label}}} {total}"
 
 
-def heading(metric: MetricSpec, kind: str) -> Iterator[str]:
+def metric_header(metric: MetricSpec, kind: str) -> Iterator[str]:
     """Return the lines that introduce a metric.
 
     Args:
--- a/packages/jackdawcrank-proxy/tests/decisions/test_decision_log.py
+++ b/packages/jackdawcrank-proxy/tests/decisions/test_decision_log.py
@@ -2,8 +2,8 @@
 import os
 
 from jackdawcrank.decisions.decision_log import (
-    MAX_ORDINARY_LINES,
-    MAX_WAITING_LINES,
+    MAX_BUFFERED_LINES,
+    MAX_ROUTINE_LINES,
     DecisionLog,
 )
 
@@ -13,14 +13,14 @@
     return [json.loads(line) for line in data.splitlines()]
 
 
-def make() -> tuple[DecisionLog, int]:
+def make_log() -> tuple[DecisionLog, int]:
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     return DecisionLog("vm1", writer), reader
 
 
-def test_line_holds_time_process_event_and_fields() -> None:
-    log, reader = make()
+def test_line_contains_time_vm_event_and_fields() -> None:
+    log, reader = make_log()
     log.event("store_lost", detail="why")
     log.write_out()
     [line] = read(reader)
@@ -28,33 +28,33 @@
     assert line == {"vm": "vm1", "event": "store_lost", "detail": "why"}
 
 
-def test_ordinary_lines_are_bounded_and_their_number_is_told() -> None:
-    log, reader = make()
-    for _ in range(MAX_ORDINARY_LINES + 7):
+def test_excess_routine_lines_are_dropped_and_counted() -> None:
+    log, reader = make_log()
+    for _ in range(MAX_ROUTINE_LINES + 7):
         log.routine("statement")
     log.event("store_lost")
     log.write_out()
     lines = read(reader)
     events = [line["event"] for line in lines]
-    assert events.count("statement") == MAX_ORDINARY_LINES
+    assert events.count("statement") == MAX_ROUTINE_LINES
     assert "store_lost" in events
     assert lines[-1]["count"] == 7
-    assert log.measurements.events["statement"] == MAX_ORDINARY_LINES + 7
+    assert log.measurements.events["statement"] == MAX_ROUTINE_LINES + 7
 
 
-def test_reader_that_is_stuck_bounds_the_memory_and_blocks_nothing() -> None:
-    log, reader = make()
+def test_blocked_reader_bounds_memory_without_blocking() -> None:
+    log, reader = make_log()
     for _ in range(200):
         for _ in range(100):
             log.event("statement", detail="x" * 100)
         log.write_out()
-    assert len(log.rest) <= MAX_WAITING_LINES * 400
-    assert log.dropped or b"lines_dropped" in log.rest
+    assert len(log.unwritten) <= MAX_BUFFERED_LINES * 400
+    assert log.dropped or b"lines_dropped" in log.unwritten
 
 
-def test_reader_that_is_gone_is_no_error() -> None:
-    log, reader = make()
+def test_closed_reader_is_ignored() -> None:
+    log, reader = make_log()
     os.close(reader)
     log.event("stopped")
     log.write_out()
-    assert log.rest == b""
+    assert log.unwritten == b""
--- a/packages/jackdawcrank-proxy/tests/decisions/test_events.py
+++ b/packages/jackdawcrank-proxy/tests/decisions/test_events.py
@@ -7,24 +7,26 @@
 
 SOURCES = pathlib.Path(jackdawcrank.__file__).parent
 ROOT = pathlib.Path(__file__).parents[4]
-WRITTEN = re.compile(
+EVENT_CALL = re.compile(
     r'(?:\.event|\.routine|\bwrite|\.note_lost)\(\s*"([a-z_]+)"'
 )
-PLACES = ("relay", "decisions")
+SOURCE_FOLDERS = ("relay", "decisions")
 
 
 def written_events() -> set[str]:
     found: set[str] = set()
     paths = [
-        path for place in PLACES for path in (SOURCES / place).glob("*.py")
+        path
+        for place in SOURCE_FOLDERS
+        for path in (SOURCES / place).glob("*.py")
     ]
     paths += (ROOT / "platform/src").glob("**/*.py")
     for path in paths:
-        found |= set(WRITTEN.findall(path.read_text()))
+        found |= set(EVENT_CALL.findall(path.read_text()))
     return found | {"settings_reload_requested"}
 
 
-def test_every_event_is_declared_and_every_declared_one_is_written() -> None:
+def test_declared_and_written_events_match() -> None:
     assert written_events() == {event.name for event in EVENTS}
 
 
--- a/packages/jackdawcrank-proxy/tests/decisions/test_measurements.py
+++ b/packages/jackdawcrank-proxy/tests/decisions/test_measurements.py
@@ -17,13 +17,13 @@
     assert f'{name}"+Inf"}} 5' in page
 
 
-def test_label_cannot_break_the_page() -> None:
+def test_label_values_are_escaped() -> None:
     measurements = Measurements()
     measurements.answered('a"b\\c\nd', "done", 0.1)
     assert 'database="a\\"b\\\\c d"' in measurements.page()
 
 
-def test_databases_that_come_and_go_are_bounded() -> None:
+def test_number_of_databases_is_bounded() -> None:
     measurements = Measurements()
     for number in range(3 * MAX_DATABASES):
         measurements.answered(f"db{number}", "done", 0.1)
