--- a/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""What the process decided, for whoever explains a failure afterwards."""
+"""The log of the process's decisions, for failure analysis, and metrics."""
 
 from jackdawcrank.decisions.decision_log import DecisionLog
 from jackdawcrank.decisions.measurements import Measurements
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/decision_log.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/decision_log.py
@@ -1,4 +1,4 @@
-"""Structured lines on standard output, bounded and never waited for."""
+"""Structured log on standard output with a bounded, non-blocking buffer."""
 
 import collections
 import json
@@ -10,27 +10,29 @@
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
 
-# Lines wait at most this long, so that a crash loses little.
+# The longest time a line stays in the buffer; a crash loses only these lines.
 FLUSH_SECONDS = 0.2
-# About 200 bytes a line: 400 KB where standard output is not read.
+# About 200 bytes per line: 400 KB if standard output is not being read.
 MAX_BUFFERED_LINES = 2_000
-# Ordinary lines in one flush interval; what goes wrong is always kept.
+# Limit of routine lines per flush interval. Lines about failures do not count
+# towards it.
 MAX_ROUTINE_LINES = 40
 STANDARD_OUTPUT = 1
 
 
 class DecisionLog:
-    """Writes one JSON object a line.
+    """Writes events as JSON objects, one per line.
 
-    Ordinary decisions are counted and left out when there are too many; lines
-    about failures are kept as long as the buffer has room.
+    Routine events above `MAX_ROUTINE_LINES` per flush interval are counted but
+    not logged. Lines about failures are dropped only if the buffer is full.
 
     Attributes:
-      vm: The process's name in every line.
-      measurements: Counts the events and the answers.
-      pending: Lines that are not written yet.
-      routine_count: Ordinary lines since the last flush.
-      dropped: Lines that were left out since the last report of it.
+      vm: The name of the VM, part of every line.
+      measurements: Counts events and answers for the metrics.
+      pending: Lines buffered since the last flush.
+      routine_count: Routine events since the last flush.
+      dropped: Lines dropped since the last `lines_dropped` event.
+      unwritten: Bytes of flushed lines that standard output has not accepted.
     """
 
     def __init__(self, vm: str, descriptor: int = STANDARD_OUTPUT) -> None:
@@ -44,10 +46,10 @@
         self.subscription: Subscription | None = None
 
     async def start(self, timer: Timer) -> None:
-        """Begin to write.
+        """Start flushing periodically.
 
         Args:
-          timer: Calls the log back.
+          timer: Triggers the flushes.
         """
         os.set_blocking(self.descriptor, False)
         self.subscription = timer.subscribe(
@@ -55,13 +57,13 @@
         )
 
     async def close(self) -> None:
-        """Write what the reader takes without waiting."""
+        """Stop the flushes and write what the output accepts without blocking."""
         if self.subscription:
             self.subscription.close()
         self.write_out()
 
     def event(self, name: str, **fields: typing.Any) -> None:
-        """Keep a line about a failure or a change of belief.
+        """Log a failure or a change of state.
 
         Args:
           name: The event's name.
@@ -71,7 +73,7 @@
         self.enqueue(name, fields)
 
     def enqueue(self, name: str, fields: dict[str, typing.Any]) -> None:
-        """Keep a line if the buffer has room."""
+        """Add a line to the buffer; drop it if the buffer is full."""
         if len(self.pending) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             return
@@ -80,7 +82,7 @@
         self.pending.append(json.dumps(line, default=str).encode() + b"\n")
 
     def routine(self, name: str, **fields: typing.Any) -> None:
-        """Keep a line about an ordinary decision, if there are few.
+        """Log a routine decision unless the rate limit is exceeded.
 
         Args:
           name: The event's name.
@@ -94,15 +96,15 @@
         self.enqueue(name, fields)
 
     async def flush(self, _now: float) -> None:
-        """Write as much as the reader takes.
+        """Write as much as the output accepts without blocking.
 
         Args:
-          _now: The timer's time.
+          _now: The time of the timer, unused.
         """
         self.write_out()
 
     def write_out(self) -> None:
-        """Write as much as the reader takes."""
+        """Write as much as the output accepts without blocking."""
         self.routine_count = 0
         if self.dropped and len(self.pending) < MAX_BUFFERED_LINES:
             count, self.dropped = self.dropped, 0
@@ -116,7 +118,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads any more; there is nowhere to say so.
+            # The reader has closed the pipe, so there is no place to report it.
             written = len(self.unwritten)
         self.unwritten = self.unwritten[written:]
         if len(self.unwritten) > MAX_BUFFERED_LINES * 200:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/event_page.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/event_page.py
@@ -1,4 +1,4 @@
-"""The reference page of the decision log."""
+"""Generates the reference page of the decision log."""
 
 from jackdawcrank.decisions.event_spec import EVENTS
 from jackdawcrank.decisions.metric_spec import COUNTERS, HISTOGRAMS
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/event_spec.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/event_spec.py
@@ -1,16 +1,16 @@
-"""Every event that the decision log may hold."""
+"""Specification of all events in the decision log."""
 
 import attrs
 
 
 @attrs.frozen
 class EventSpec:
-    """One kind of line.
+    """One type of event.
 
     Attributes:
-      name: The event's name.
-      when: When it is written.
-      fields: Its fields and what they hold, units included.
+      name: The name of the event.
+      when: The condition under which the event is written.
+      fields: Descriptions of the fields by name, with units.
     """
 
     name: str
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/measurements.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/measurements.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of a relaying process."""
+"""Counters and latency histograms of a proxy process."""
 
 from collections.abc import Iterator
 
@@ -11,24 +11,25 @@
     MetricSpec,
 )
 
-# From 1 ms to a minute, two digits: 5% apart at worst, 10 KB a histogram.
+# From 1 ms to one minute with two significant digits: a resolution of 5% or
+# better at 10 KB per histogram.
 LOWEST_MS = 1
 HIGHEST_MS = 60_000
 DIGITS = 2
-# Around our users' aims of 0.4 to 1 s and deadlines of 6 to 15 s.
+# Cover our users' latency objectives of 0.4 to 1 s and deadlines of 6 to 15 s.
 BUCKETS_MS = (10, 25, 50, 100, 200, 400, 600, 800, 1_000, 2_000, 6_000, 15_000)
-# Databases that come and go must not grow a process without bound.
+# Bounds the memory if databases are created and removed repeatedly.
 MAX_DATABASES = 200
 OTHERS = "others"
 
 
 class Measurements:
-    """Counts events and answers, and how long answers take.
+    """Counts events and answers and records the latencies of answers.
 
     Attributes:
-      events: Events by name.
-      answers: Answers by database and outcome.
-      seconds: Latencies by database, in milliseconds.
+      events: Number of events by name.
+      answers: Number of answers by database and outcome.
+      seconds: Latency histograms by database, in milliseconds.
     """
 
     def __init__(self) -> None:
@@ -40,7 +41,7 @@
         """Count an event.
 
         Args:
-          name: Its name.
+          name: The name of the event.
         """
         self.events[name] = self.events.get(name, 0) + 1
 
@@ -50,7 +51,7 @@
         Args:
           database: The database.
           outcome: `done` or a problem's name.
-          seconds: From the statement to its answer.
+          seconds: The time from the statement to its answer.
         """
         histogram = self.seconds.get(database)
         if histogram is None:
@@ -64,11 +65,11 @@
         histogram.record_value(min(HIGHEST_MS, milliseconds))
 
     def page(self) -> str:
-        """Return everything in the text form that scrapers read."""
+        """Return all metrics in the Prometheus text format."""
         return "\n".join([*self.counter_lines(), *self.histogram_lines(), ""])
 
     def counter_lines(self) -> Iterator[str]:
-        """Return the counters' lines."""
+        """Yield the lines of the counters."""
         yield from metric_header(EVENTS_TOTAL, "counter")
         for name, count in sorted(self.events.items()):
             yield f'{EVENTS_TOTAL.name}{{event="{name}"}} {count}'
@@ -78,7 +79,7 @@
             yield f"{ANSWERS_TOTAL.name}{{{labels}}} {count}"
 
     def histogram_lines(self) -> Iterator[str]:
-        """Return the histograms' lines."""
+        """Yield the lines of the histograms."""
         yield from metric_header(ANSWER_SECONDS, "histogram")
         for database, histogram in sorted(self.seconds.items()):
             label = f'database="{escape(database)}"'
@@ -102,7 +103,7 @@
 
 
 def metric_header(metric: MetricSpec, kind: str) -> Iterator[str]:
-    """Return the lines that introduce a metric.
+    """Yield the `HELP` and `TYPE` lines of a metric.
 
     Args:
       metric: The metric.
@@ -113,9 +114,9 @@
 
 
 def escape(label: str) -> str:
-    """Return a label's value as written between quotes.
+    """Return a label value escaped for use within double quotes.
 
     Args:
-      label: The value.
+      label: The value; line feeds become spaces.
     """
     return label.replace("\\", "\\\\").replace('"', '\\"').replace("\n", " ")
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/metric_spec.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/decisions/metric_spec.py
@@ -1,4 +1,4 @@
-"""Every counter and histogram of a relaying process."""
+"""Specification of all counters and histograms of a proxy process."""
 
 import attrs
 
@@ -8,8 +8,8 @@
     """One metric.
 
     Attributes:
-      name: Its name, unit included.
-      help: What it counts.
+      name: The name of the metric, with its unit.
+      help: A description of the metric.
     """
 
     name: str
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/__init__.py
@@ -1,5 +1,6 @@
-"""The interfaces between the proxy and the protocols around it.
+"""Interfaces between the proxy and the adapter of a platform.
 
-A protocol's adapter implements these; the proxy's parts use nothing else of
-it. The types say what a message holds, in the proxy's words.
+An adapter implements these protocols for one platform's wire formats, and the
+proxy depends on nothing else of it. The types describe the content of messages
+independently of their encoding.
 """
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/caller_frontend.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/caller_frontend.py
@@ -1,4 +1,4 @@
-"""The interface of whatever accepts callers' connections."""
+"""Interface of the component that accepts callers' connections."""
 
 import typing
 
@@ -6,34 +6,37 @@
 
 
 class SessionFactory(typing.Protocol):
-    """Makes a session for a caller that has connected."""
+    """Creates sessions for connected callers."""
 
     async def open_session(self, database: str) -> CallerSession | None:
-        """Return a session; None if the database is not declared.
+        """Return a new session; None if the database is not declared.
 
         Args:
-          database: What the caller named.
+          database: The database that the caller asked for.
+
+        Raises:
+          TimeoutError: The configuration has not been read yet.
         """
 
     def readiness(self) -> bool:
-        """Return whether new callers should be sent here."""
+        """Return whether this process is ready for new callers."""
 
 
 class CallerFrontend(typing.Protocol):
-    """Accepts callers and carries their statements to sessions."""
+    """Accepts callers and passes their statements to sessions."""
 
     async def start(self, sessions: SessionFactory) -> None:
-        """Begin to accept callers.
+        """Start accepting callers.
 
         Args:
-          sessions: Makes their sessions.
+          sessions: Creates the callers' sessions.
         """
 
     def close_idle(self) -> None:
-        """Close connections that have nothing under way."""
+        """Close connections without a running statement or transaction."""
 
     def sessions(self) -> list[CallerSession]:
         """Return the sessions of all open connections."""
 
     async def close(self) -> None:
-        """Stop accepting and close every connection."""
+        """Stop accepting callers and close all connections."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/commands.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/commands.py
@@ -1,4 +1,4 @@
-"""What the proxy sends to a backend server."""
+"""Commands that the proxy sends to a backend server."""
 
 import attrs
 
@@ -8,12 +8,12 @@
 
 @attrs.frozen
 class ForwardStatement:
-    """A caller's statement, under the caller's request id.
+    """Runs a caller's statement under the caller's request id.
 
     Attributes:
       request_id: The caller's id of the statement.
-      text: The statement.
-      needed: The position that the server must have, or None.
+      text: The text of the statement.
+      needed: The log position that the server must have reached, or None.
     """
 
     request_id: str
@@ -23,13 +23,13 @@
 
 @attrs.frozen
 class ForwardPrepared:
-    """A caller's execution of a prepared statement.
+    """Executes a prepared statement for a caller.
 
     Attributes:
       request_id: The caller's id of the statement.
-      name: The name on this connection.
+      name: The name of the prepared statement on this connection.
       arguments: The caller's arguments.
-      needed: The position that the server must have, or None.
+      needed: The log position that the server must have reached, or None.
     """
 
     request_id: str
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class ForwardCommit:
-    """A caller's commit.
+    """Commits the open transaction for a caller.
 
     Attributes:
       request_id: The caller's id of the statement.
@@ -51,11 +51,12 @@
 
 @attrs.frozen
 class BeginTransaction:
-    """Opens a transaction.
+    """Begins a transaction.
 
     Attributes:
-      read_only: Whether a replica may run it.
-      needed: The position that the server must have, or None.
+      read_only: Whether the transaction only reads, so that a replica may run
+        it.
+      needed: The log position that the server must have reached, or None.
     """
 
     read_only: bool
@@ -64,20 +65,20 @@
 
 @attrs.frozen
 class RollbackTransaction:
-    """Rolls the open transaction back."""
+    """Rolls back the open transaction."""
 
 
 @attrs.frozen
 class QueryStatus:
-    """Asks for role, term and position."""
+    """Queries the server's role, term and log position."""
 
 
 @attrs.frozen
 class SuspendReplication:
-    """Stops a replica from receiving.
+    """Stops a replica from receiving log entries.
 
     Attributes:
-      term: A term above the newest one.
+      term: A term above the newest known one.
     """
 
     term: int
@@ -85,15 +86,15 @@
 
 @attrs.frozen
 class ResumeReplication:
-    """Lets a frozen replica receive again."""
+    """Lets a suspended replica receive log entries again."""
 
 
 @attrs.frozen
 class Demote:
-    """Makes the primary of a lower term a replica.
+    """Demotes the primary of a lower term to a replica.
 
     Attributes:
-      term: A term above the newest one.
+      term: A term above the newest known one.
     """
 
     term: int
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/declaration_decoder.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/declaration_decoder.py
@@ -1,4 +1,4 @@
-"""How declarations and server reports are read from stored rows."""
+"""Interface for decoding declarations and server reports from rows."""
 
 import typing
 
@@ -7,18 +7,18 @@
 
 
 class DeclarationDecoder(typing.Protocol):
-    """Where declarations lie in the store, and what their rows mean.
+    """Names the tables in the metadata store and decodes their rows.
 
     Attributes:
-      declarations_table: The table of declarations.
-      servers_table: The table of server reports, a row a server.
+      declarations_table: The table that contains the declarations.
+      servers_table: The table of server reports, one row per server.
     """
 
     declarations_table: str
     servers_table: str
 
     def read_declarations(self, row: StoredRow) -> Declarations | None:
-        """Return the declarations in a row; None if it holds none.
+        """Return the declarations in a row; None if there are none.
 
         Args:
           row: A row of the declarations table.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/metadata_store.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/metadata_store.py
@@ -1,4 +1,4 @@
-"""The interface of the store for what must last."""
+"""Interface of the metadata store, which keeps durable state."""
 
 import typing
 
@@ -7,12 +7,12 @@
 
 @attrs.frozen
 class StoredRow:
-    """A row.
+    """A row of a table.
 
     Attributes:
-      key: Its key.
-      value: Its bytes.
-      revision: The store's version of the write that made it.
+      key: The key, unique within the table.
+      value: The stored bytes.
+      revision: The store's revision of the last write to the row.
     """
 
     key: str
@@ -22,12 +22,12 @@
 
 @attrs.frozen
 class TableSnapshot:
-    """All rows of a table at one moment.
+    """A consistent snapshot of a table.
 
     Attributes:
       rows: The rows.
-      revision: The store's newest version at that moment.
-      store_seconds: The store's steady clock at that moment.
+      revision: The store's newest revision at the time of the snapshot.
+      store_seconds: The store's monotonic clock at that time, in seconds.
     """
 
     rows: tuple[StoredRow, ...]
@@ -37,12 +37,12 @@
 
 @attrs.frozen
 class TableChanges:
-    """What changed in a table after a revision.
+    """Changes of a table after a revision.
 
     Attributes:
       rows: The rows that were written, in the order of their writes.
       removed: The keys of rows that were removed.
-      revision: Where to go on.
+      revision: The revision from which to continue.
     """
 
     rows: tuple[StoredRow, ...]
@@ -52,16 +52,16 @@
 
 @attrs.frozen
 class HistoryTrimmed:
-    """The changes asked for are no longer kept; read the table anew."""
+    """The store no longer has the changes; the table must be read again."""
 
 
 @attrs.frozen
 class StoreFailure:
-    """The store gave no usable answer.
+    """The store returned no usable answer.
 
     Attributes:
-      maybe_applied: Whether a write may have taken effect all the same.
-      detail: A sentence about it.
+      maybe_applied: Whether a write may still have taken effect.
+      detail: A description of the failure.
     """
 
     maybe_applied: bool
@@ -73,7 +73,7 @@
     """The write took effect.
 
     Attributes:
-      revision: Its version.
+      revision: The revision of the write.
     """
 
     revision: int
@@ -81,11 +81,11 @@
 
 @attrs.frozen
 class RevisionConflict:
-    """The row was not as the write required; nothing was written."""
+    """The row was not at the required revision; nothing was written."""
 
 
 class MetadataStore(typing.Protocol):
-    """Tables of rows, written under a condition and followed."""
+    """Stores tables of rows, with conditional writes and change feeds."""
 
     async def read_table(
         self, table: str, key: str | None = None
@@ -94,7 +94,7 @@
 
         Args:
           table: The table.
-          key: Only this row; None for all.
+          key: The key of the only row to return; None for all rows.
         """
 
     async def follow(
@@ -104,18 +104,19 @@
 
         Args:
           table: The table.
-          after: The revision after which changes are wanted.
-          wait_seconds: The longest wait; no changes are returned after it.
+          after: The revision after which to return changes.
+          wait_seconds: The wait limit, after which an empty result is
+            returned.
         """
 
     async def replace_row(
         self, table: str, key: str, value: bytes, revision: int
     ) -> RowWritten | RevisionConflict | StoreFailure:
-        """Write a row if it is still at a revision.
+        """Write a row if it is still at the given revision.
 
         Args:
           table: The table.
           key: The row's key.
-          value: Its new bytes.
-          revision: The revision it must have; 0 if it must not exist.
+          value: The new bytes.
+          revision: The required revision; 0 if the row must not exist.
         """
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/promotion_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/promotion_service.py
@@ -1,35 +1,35 @@
-"""The interface of whoever names a group's primary."""
+"""Interface of the service that promotes servers to primaries."""
 
 import enum
 import typing
 
 
 class PromotionResult(enum.Enum):
-    """What became of an order to promote."""
+    """Result of a promotion request."""
 
     DONE = "done"
     REFUSED = "refused"
-    """A higher token was used, or the server does not run."""
+    """A higher fencing token was used before, or the server is not running."""
     UNAVAILABLE = "unavailable"
-    """Refused for now; nothing was done."""
+    """The service could not act on the request; nothing was changed."""
     UNANSWERED = "unanswered"
-    """It may have been carried out, or may still be."""
+    """No answer; the request may have taken effect or may still do so."""
 
 
 class PromotionService(typing.Protocol):
-    """Promotes servers; of two orders it refuses the one of a lower token."""
+    """Promotes servers and rejects requests with a lower fencing token."""
 
     async def promote(
         self, group: str, server_id: str, holder: str, token: int
     ) -> PromotionResult:
-        """Make a server the primary of the next term.
+        """Promote a server to the primary of the next term.
 
-        Naming the present primary changes nothing, but shuts lower tokens
-        out.
+        Promoting the current primary has no effect except that requests with a
+        lower fencing token are rejected from then on.
 
         Args:
-          group: The group.
+          group: The database group.
           server_id: The server to promote.
-          holder: The proxy that claimed the right to do so.
-          token: The number of its claim.
+          holder: The proxy that holds the claim.
+          token: The fencing token, which is the number of the claim.
         """
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/replies.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/replies.py
@@ -1,4 +1,4 @@
-"""Answers of servers and of the proxy to its callers."""
+"""Replies of servers to the proxy and of the proxy to callers."""
 
 import enum
 
@@ -8,16 +8,16 @@
 
 
 class SessionState(enum.Enum):
-    """Where a session or connection stands."""
+    """Transaction state of a session or connection."""
 
     IDLE = "idle"
     IN_TRANSACTION = "in_transaction"
     FAILED = "failed"
-    """Its transaction failed; only ending it is possible."""
+    """The transaction failed and can only be ended."""
 
 
 class Problem(enum.Enum):
-    """Why a statement has no result."""
+    """Reason why a statement has no result."""
 
     BUSY = "busy"
     ROLLED_BACK = "rolled_back"
@@ -43,20 +43,21 @@
         Problem.UNKNOWN_NAME,
     }
 )
-"""A server that answers one of these did not run the statement."""
+"""Problems by which a server reports that it did not run the statement."""
 
 
 @attrs.frozen
 class Reply:
-    """The whole answer to one statement.
+    """The complete reply to one statement.
 
     Attributes:
-      rows: The result's rows, as the server wrote them.
-      signature: The server's proof of the run; empty where there is none.
+      rows: The rows of the result, as the server encoded them.
+      signature: The server's proof that it ran the statement; empty if there
+        is none.
       problem: Why there is no result; None on success.
-      detail: A sentence about the problem.
-      state: Where the session stands now.
-      position: The server's log position, if it told one.
+      detail: A description of the problem.
+      state: The transaction state of the session after the statement.
+      position: The server's log position, if it reported one.
     """
 
     rows: tuple[str, ...] = ()
@@ -69,13 +70,14 @@
 
 @attrs.frozen
 class ServerStatus:
-    """What a server says of itself when asked.
+    """A server's reply to a status query.
 
     Attributes:
-      leads: Whether it takes itself for the primary.
-      term: The newest term that it knows.
-      received: The last log entry that it has received.
-      lag_seconds: How far the data that it shows is behind that.
+      leads: Whether the server considers itself the primary.
+      term: The newest term that the server knows.
+      received: The position of the last log entry that it has received.
+      lag_seconds: The delay, in seconds, of the data visible to reads behind
+        that entry.
     """
 
     leads: bool
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/server_link.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/server_link.py
@@ -1,4 +1,4 @@
-"""The interface of a connection to a backend server."""
+"""Interface of a connection to a backend server."""
 
 import asyncio
 import collections.abc
@@ -15,29 +15,29 @@
 
 
 class LinkLostError(Exception):
-    """The connection ended before the answer was whole."""
+    """The connection was closed before the reply was complete."""
 
 
 class OpenFailure(enum.Enum):
-    """Why no connection was made."""
+    """Reason why a connection could not be opened."""
 
     REFUSED = "refused"
-    """The host answered that nobody listens, or cut the connection."""
+    """The host refused the connection or closed it."""
     SILENT = "silent"
-    """Nothing answered in time."""
+    """There was no answer within the timeout."""
     WRONG_SERVER = "wrong_server"
-    """Another server listens there now."""
+    """Another server uses the address now."""
     FULL = "full"
-    """The server has as many connections as it takes."""
+    """The server is at its connection limit or has a full queue."""
 
 
 @attrs.frozen
 class NotOpened:
-    """No connection was made.
+    """The connection could not be opened.
 
     Attributes:
-      failure: Why.
-      detail: A sentence about it.
+      failure: The reason.
+      detail: A description of the failure.
     """
 
     failure: OpenFailure
@@ -48,11 +48,11 @@
     """A connection to one backend server.
 
     Attributes:
-      memory: What the connection holds of the sessions that used it.
-      closed: Whether it can be used no more.
-      state: Where the connection stands, by the server's last answer.
-      first_position: The position that the server told on connecting.
-      on_closed: Called once when the connection has ended.
+      memory: The session state that is set on this connection.
+      closed: Whether the connection can no longer be used.
+      state: The transaction state, as of the server's last reply.
+      first_position: The log position that the server reported on connecting.
+      on_closed: Called once after the connection has been closed.
     """
 
     memory: ConnectionContext
@@ -64,34 +64,35 @@
     def send(
         self, commands: collections.abc.Sequence[Command]
     ) -> list[asyncio.Future[Reply]]:
-        """Send commands together; return the replies to come, in order.
+        """Send commands as one batch; return futures of their replies, in order.
 
-        A reply's future fails with `LinkLostError` if the link ends first.
+        A future fails with `LinkLostError` if the connection closes before the
+        reply is complete.
 
         Args:
-          commands: The commands; the server runs them one after the other.
+          commands: The commands, which the server runs in this order.
         """
 
     def status_of(self, reply: Reply) -> ServerStatus | None:
-        """Return what a reply to a status question says, or None.
+        """Return the status in a reply; None if it cannot be decoded.
 
         Args:
-          reply: The reply to a command that answers with a status.
+          reply: The reply to a `QueryStatus` command.
         """
 
     def close(self) -> None:
-        """End the connection at once; the server rolls back what is open."""
+        """Abort the connection; the server rolls back an open transaction."""
 
 
 class LinkOpener(typing.Protocol):
-    """Connects to backend servers."""
+    """Opens connections to backend servers."""
 
     async def open(
         self, server: ListedServer, timeout_seconds: float
     ) -> ServerLink | NotOpened:
-        """Connect to a server, and only to that one.
+        """Connect to a server and verify its identity.
 
         Args:
           server: The server.
-          timeout_seconds: The longest time until it is ready.
+          timeout_seconds: The time limit for connecting and verifying.
         """
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/statements.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/statements.py
@@ -1,14 +1,14 @@
-"""What a caller's session may ask."""
+"""Statements that a caller can send on a session."""
 
 import attrs
 
 
 @attrs.frozen
 class Begin:
-    """Opens a transaction.
+    """Begins a transaction.
 
     Attributes:
-      read_only: Whether it may not write.
+      read_only: Whether writes are not allowed in it.
     """
 
     read_only: bool
@@ -16,21 +16,21 @@
 
 @attrs.frozen
 class Commit:
-    """Commits the transaction."""
+    """Commits the open transaction."""
 
 
 @attrs.frozen
 class Rollback:
-    """Rolls the transaction back."""
+    """Rolls back the open transaction."""
 
 
 @attrs.frozen
 class DataStatement:
-    """Reads or writes data; forwarded as it stands.
+    """Reads or writes data; forwarded unchanged.
 
     Attributes:
-      writes: Whether it changes data.
-      text: The caller's text.
+      writes: Whether the statement changes data.
+      text: The text as received from the caller.
     """
 
     writes: bool
@@ -42,8 +42,8 @@
     """Executes a prepared statement.
 
     Attributes:
-      name: The caller's name of it.
-      arguments: The rest of the caller's text.
+      name: The caller's name of the prepared statement.
+      arguments: The arguments, as received from the caller.
     """
 
     name: str
@@ -52,12 +52,12 @@
 
 @attrs.frozen
 class DefinePrepared:
-    """Prepares a statement.
+    """Defines a prepared statement.
 
     Attributes:
-      name: The caller's name for it.
-      writes: Whether it changes data.
-      shape: Its text.
+      name: The caller's name of the prepared statement.
+      writes: Whether the statement changes data.
+      shape: The text of the statement.
     """
 
     name: str
@@ -67,10 +67,10 @@
 
 @attrs.frozen
 class DeallocatePrepared:
-    """Forgets a prepared statement.
+    """Deallocates a prepared statement.
 
     Attributes:
-      name: The caller's name of it.
+      name: The caller's name of the prepared statement.
     """
 
     name: str
@@ -78,11 +78,11 @@
 
 @attrs.frozen
 class SetSessionValue:
-    """Sets a session value.
+    """Sets a session variable.
 
     Attributes:
-      name: The value's name.
-      value: The value.
+      name: The name of the variable.
+      value: The new value.
     """
 
     name: str
@@ -91,10 +91,10 @@
 
 @attrs.frozen
 class InvalidStatement:
-    """A text that is no statement.
+    """A text that is not a valid statement.
 
     Attributes:
-      detail: What is wrong with it.
+      detail: Why the text is not valid.
     """
 
     detail: str
