--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/await_reply.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/await_reply.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from jackdawcrank.seams.replies import Reply
-from jackdawcrank.seams.server_link import LinkLostError
+from jackdawcrank.seams.server_link import ConnectionLostError
 
 
 async def await_result(
@@ -36,5 +36,5 @@
     try:
         async with asyncio.timeout_at(deadline):
             return await future
-    except (TimeoutError, LinkLostError):
+    except (TimeoutError, ConnectionLostError):
         return None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -12,7 +12,7 @@
     TableChanges,
     TableSnapshot,
 )
-from jackdawcrank.seams.server_link import LinkOpener
+from jackdawcrank.seams.server_link import ConnectionOpener
 from jackdawcrank_policy.catalog import (
     DatabaseSpec,
     Declarations,
@@ -39,7 +39,7 @@
     def __init__(
         self,
         form: DeclarationDecoder,
-        opener: LinkOpener,
+        opener: ConnectionOpener,
         whereabouts: Whereabouts,
         contact: StoreContact,
         homes: Homes,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
@@ -7,7 +7,7 @@
     ForwardPrepared,
     ForwardStatement,
 )
-from jackdawcrank.seams.server_link import ServerLink
+from jackdawcrank.seams.server_link import ServerConnection
 from jackdawcrank_policy.sessions import PreparedStatement, SessionContext
 from jackdawcrank_policy.values.position import Position
 
@@ -30,7 +30,7 @@
 
 
 def setup_commands(
-    link: ServerLink, memory: SessionContext, execution: Execution | None
+    link: ServerConnection, memory: SessionContext, execution: Execution | None
 ) -> list[Command]:
     """Return what makes a link fit a session, and note it as done.
 
@@ -44,7 +44,7 @@
 
 
 def forward_command(
-    link: ServerLink, execution: Execution, needed: Position | None = None
+    link: ServerConnection, execution: Execution, needed: Position | None = None
 ) -> Command:
     """Return the command that carries a caller's statement.
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -21,7 +21,7 @@
     RollbackTransaction,
 )
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
-from jackdawcrank.seams.server_link import ServerLink
+from jackdawcrank.seams.server_link import ServerConnection
 
 if typing.TYPE_CHECKING:
     from jackdawcrank.relay.group_relay import GroupRelay
@@ -52,7 +52,7 @@
         self,
         group: "GroupRelay",
         lane: ServerLane,
-        link: ServerLink,
+        link: ServerConnection,
         on_primary: bool,
         timeout_seconds: float,
     ) -> None:
@@ -287,7 +287,7 @@
 
 
 def give_back_after(
-    lane: ServerLane, link: ServerLink, future: asyncio.Future[Reply]
+    lane: ServerLane, link: ServerConnection, future: asyncio.Future[Reply]
 ) -> None:
     """Give a connection back when its last command is answered.
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -32,7 +32,7 @@
 from jackdawcrank.seams.declaration_decoder import DeclarationDecoder
 from jackdawcrank.seams.metadata_store import MetadataStore
 from jackdawcrank.seams.promotion_service import PromotionService
-from jackdawcrank.seams.server_link import LinkOpener
+from jackdawcrank.seams.server_link import ConnectionOpener
 from jackdawcrank.timer import TimerService
 from jackdawcrank_policy.homes import Member
 
@@ -65,7 +65,7 @@
         settings: RelaySettings,
         store: MetadataStore,
         form: DeclarationDecoder,
-        opener: LinkOpener,
+        opener: ConnectionOpener,
         authority: PromotionService,
         front: CallerFrontend,
         log: DecisionLog,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
@@ -14,10 +14,10 @@
 )
 from jackdawcrank.seams.replies import SessionState
 from jackdawcrank.seams.server_link import (
-    LinkOpener,
+    ConnectionOpener,
     NotOpened,
     OpenFailure,
-    ServerLink,
+    ServerConnection,
 )
 from jackdawcrank_policy.catalog import ListedServer
 from jackdawcrank_policy.placement import ServerCondition
@@ -42,7 +42,7 @@
 # many proxies open theirs at once when all of them start.
 MAX_OPENING = 1
 
-Granted = ServerLink | NotOpened
+Granted = ServerConnection | NotOpened
 
 
 @attrs.frozen
@@ -59,7 +59,7 @@
       since: Since when, in seconds on the loop's clock.
     """
 
-    link: ServerLink
+    link: ServerConnection
     since: float
 
 
@@ -85,7 +85,7 @@
     def __init__(
         self,
         server: ListedServer,
-        opener: LinkOpener,
+        opener: ConnectionOpener,
         limit: int,
         window: float,
         log: DecisionLog,
@@ -102,10 +102,10 @@
         self.opening = 0
         self.full_until = 0.0
         self.gate = StatementGate(max(MIN_WINDOW, window), limit)
-        self.sending: dict[ServerLink, float] = {}
+        self.sending: dict[ServerConnection, float] = {}
         self.turn = WaitEstimator()
         self.patience = OverloadDetector()
-        self.loans: dict[ServerLink, float] = {}
+        self.loans: dict[ServerConnection, float] = {}
         self.line: PriorityWaitQueue[asyncio.Future[Granted]] = (
             PriorityWaitQueue()
         )
@@ -167,7 +167,7 @@
             self.condition.running = len(self.loans)
         return granted
 
-    def returned(self, link: ServerLink) -> None:
+    def returned(self, link: ServerConnection) -> None:
         """Note that a connection is no longer in use."""
         self.rest(link)
         lent_at = self.loans.pop(link, None)
@@ -175,14 +175,14 @@
             self.turn.record_hold(self.loop.time() - lent_at)
             self.condition.running = len(self.loans)
 
-    def rest(self, link: ServerLink) -> None:
+    def rest(self, link: ServerConnection) -> None:
         """Note that nothing is under way on a connection in use."""
         sent_at = self.sending.pop(link, None)
         if sent_at is not None:
             self.gate.leave(self.loop.time() - sent_at)
             self.open_more()
 
-    async def resume(self, link: ServerLink, deadline: float) -> bool:
+    async def resume(self, link: ServerConnection, deadline: float) -> bool:
         """Wait until a transaction's next statement may be sent.
 
         Args:
@@ -226,7 +226,7 @@
             self.count += 1
         return opened
 
-    def take_idle(self, memory: SessionContext) -> ServerLink | None:
+    def take_idle(self, memory: SessionContext) -> ServerConnection | None:
         """Return the idle connection that fits a session best, or None."""
         while self.idle:
             best = min(
@@ -242,20 +242,20 @@
             self.count -= 1
         return None
 
-    def take(self, index: int) -> ServerLink:
+    def take(self, index: int) -> ServerConnection:
         """Take an idle connection into use."""
         link = self.idle.pop(index).link
         link.on_closed = None
         return link
 
-    def idle_closed(self, link: ServerLink) -> None:
+    def idle_closed(self, link: ServerConnection) -> None:
         """Take in that an idle connection ended from the other side."""
         kept = [one for one in self.idle if one.link is not link]
         self.count -= len(self.idle) - len(kept)
         self.idle = kept
         self.on_lost()
 
-    def release(self, link: ServerLink) -> None:
+    def release(self, link: ServerConnection) -> None:
         """Give a connection back that is in no transaction.
 
         Args:
@@ -282,7 +282,7 @@
         self.idle.append(IdleLink(link, now))
         link.on_closed = functools.partial(self.idle_closed, link)
 
-    def discard(self, link: ServerLink) -> None:
+    def discard(self, link: ServerConnection) -> None:
         """Close a connection that cannot be used again.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
@@ -17,7 +17,7 @@
 from jackdawcrank.seams.server_link import (
     NotOpened,
     OpenFailure,
-    ServerLink,
+    ServerConnection,
 )
 
 if typing.TYPE_CHECKING:
@@ -107,7 +107,7 @@
         return LeadReply(lane, True, leads, term)
 
     async def exchange(
-        self, lane: ServerLane, link: ServerLink, commands: list[Command]
+        self, lane: ServerLane, link: ServerConnection, commands: list[Command]
     ) -> list[Reply] | None:
         """Send commands and give the link back; None without every reply."""
         start = self.loop.time()
@@ -152,7 +152,9 @@
                 return Questioned(lane, self.status(link, reply))
             await asyncio.sleep(BUSY_PAUSE_SECONDS)
 
-    def status(self, link: ServerLink, reply: Reply) -> ServerStatus | None:
+    def status(
+        self, link: ServerConnection, reply: Reply
+    ) -> ServerStatus | None:
         """Return a status, logging an answer that holds none."""
         status = link.status_of(reply)
         if status is None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -24,7 +24,11 @@
 from jackdawcrank.relay.session_view import SessionView
 from jackdawcrank.seams import commands
 from jackdawcrank.seams.replies import NOT_RUN, Problem, Reply
-from jackdawcrank.seams.server_link import NotOpened, OpenFailure, ServerLink
+from jackdawcrank.seams.server_link import (
+    NotOpened,
+    OpenFailure,
+    ServerConnection,
+)
 from jackdawcrank_policy.catalog import Consistency, DatabaseSpec
 from jackdawcrank_policy.values.position import Position
 from jackdawcrank_policy.waiting import OVERLOAD_WAIT_SHARE, WaitLimits
@@ -257,7 +261,7 @@
         self,
         group: GroupRelay,
         lane: ServerLane,
-        link: ServerLink,
+        link: ServerConnection,
         future: asyncio.Future[Reply],
         attempts: Attempts,
     ) -> Reply | None:
@@ -281,7 +285,7 @@
         self,
         group: GroupRelay,
         lane: ServerLane,
-        link: ServerLink,
+        link: ServerConnection,
         attempts: Attempts,
         start: float,
         limit: float,
@@ -474,7 +478,7 @@
 
     async def lease_primary(
         self, session: SessionView, attempts: Attempts
-    ) -> tuple[ServerLane, ServerLink] | None:
+    ) -> tuple[ServerLane, ServerConnection] | None:
         """Return a connection to the primary, or None."""
         _, group = resolved(session)
         lane = await group.wait_for_primary(attempts.deadline)
@@ -487,7 +491,7 @@
 
     async def lease(
         self, lane: ServerLane, session: SessionView, attempts: Attempts
-    ) -> ServerLink | None:
+    ) -> ServerConnection | None:
         """Return a connection of a lane, or None."""
         spec, group = resolved(session)
         attempts.server = lane.server.server_id
@@ -520,7 +524,7 @@
         return WaitLimits(spec.priority, latest, min(latest, early))
 
     def give_back(
-        self, lane: ServerLane, link: ServerLink, broken: bool
+        self, lane: ServerLane, link: ServerConnection, broken: bool
     ) -> None:
         """Give a connection back after a statement."""
         if broken:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/server_link.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/server_link.py
@@ -14,7 +14,7 @@
 from jackdawcrank_policy.values.position import Position
 
 
-class LinkLostError(Exception):
+class ConnectionLostError(Exception):
     """The connection was closed before the reply was complete."""
 
 
@@ -44,7 +44,7 @@
     detail: str = ""
 
 
-class ServerLink(typing.Protocol):
+class ServerConnection(typing.Protocol):
     """A connection to one backend server.
 
     Attributes:
@@ -66,7 +66,7 @@
     ) -> list[asyncio.Future[Reply]]:
         """Send commands as one batch; return futures of their replies, in order.
 
-        A future fails with `LinkLostError` if the connection closes before the
+        A future fails with `ConnectionLostError` if the connection closes before the
         reply is complete.
 
         Args:
@@ -84,12 +84,12 @@
         """Abort the connection; the server rolls back an open transaction."""
 
 
-class LinkOpener(typing.Protocol):
+class ConnectionOpener(typing.Protocol):
     """Opens connections to backend servers."""
 
     async def open(
         self, server: ListedServer, timeout_seconds: float
-    ) -> ServerLink | NotOpened:
+    ) -> ServerConnection | NotOpened:
         """Connect to a server and verify its identity.
 
         Args:
