--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/await_reply.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/await_reply.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from jackdawcrank.seams.replies import Reply
-from jackdawcrank.seams.server_link import ConnectionLostError
+from jackdawcrank.seams.server_connection import ConnectionLostError
 
 
 async def await_result(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -12,7 +12,7 @@
     TableChanges,
     TableSnapshot,
 )
-from jackdawcrank.seams.server_link import ConnectionOpener
+from jackdawcrank.seams.server_connection import ConnectionOpener
 from jackdawcrank_policy.catalog import (
     DatabaseSpec,
     Declarations,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
@@ -7,7 +7,7 @@
     ForwardPrepared,
     ForwardStatement,
 )
-from jackdawcrank.seams.server_link import ServerConnection
+from jackdawcrank.seams.server_connection import ServerConnection
 from jackdawcrank_policy.sessions import PreparedStatement, SessionContext
 from jackdawcrank_policy.values.position import Position
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -10,7 +10,7 @@
 from jackdawcrank.relay.server_lane import OPEN_TIMEOUT_SECONDS, ServerLane
 from jackdawcrank.relay.server_questions import ServerQuestions
 from jackdawcrank.relay.store_contact import StoreContact
-from jackdawcrank.seams.server_link import ConnectionOpener, OpenFailure
+from jackdawcrank.seams.server_connection import ConnectionOpener, OpenFailure
 from jackdawcrank_policy.catalog import ListedServer, ServedGroup
 from jackdawcrank_policy.floors import WatermarkHistory
 from jackdawcrank_policy.placement import (
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -21,7 +21,7 @@
     RollbackTransaction,
 )
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
-from jackdawcrank.seams.server_link import ServerConnection
+from jackdawcrank.seams.server_connection import ServerConnection
 
 if typing.TYPE_CHECKING:
     from jackdawcrank.relay.group_relay import GroupRelay
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -32,7 +32,7 @@
 from jackdawcrank.seams.declaration_decoder import DeclarationDecoder
 from jackdawcrank.seams.metadata_store import MetadataStore
 from jackdawcrank.seams.promotion_service import PromotionService
-from jackdawcrank.seams.server_link import ConnectionOpener
+from jackdawcrank.seams.server_connection import ConnectionOpener
 from jackdawcrank.timer import TimerService
 from jackdawcrank_policy.homes import Member
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_lane.py
@@ -13,7 +13,7 @@
     StatementGate,
 )
 from jackdawcrank.seams.replies import SessionState
-from jackdawcrank.seams.server_link import (
+from jackdawcrank.seams.server_connection import (
     ConnectionOpener,
     NotOpened,
     OpenFailure,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/server_questions.py
@@ -14,7 +14,7 @@
     RollbackTransaction,
 )
 from jackdawcrank.seams.replies import Problem, Reply, ServerStatus
-from jackdawcrank.seams.server_link import (
+from jackdawcrank.seams.server_connection import (
     NotOpened,
     OpenFailure,
     ServerConnection,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -24,7 +24,7 @@
 from jackdawcrank.relay.session_view import SessionView
 from jackdawcrank.seams import commands
 from jackdawcrank.seams.replies import NOT_RUN, Problem, Reply
-from jackdawcrank.seams.server_link import (
+from jackdawcrank.seams.server_connection import (
     NotOpened,
     OpenFailure,
     ServerConnection,
--- a/packages/jackdawcrank-proxy/tests/relay/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/relay/conftest.py
@@ -10,7 +10,7 @@
 from jackdawcrank.relay.server_lane import ServerLane
 from jackdawcrank.seams.commands import Command
 from jackdawcrank.seams.replies import Reply, ServerStatus, SessionState
-from jackdawcrank.seams.server_link import NotOpened
+from jackdawcrank.seams.server_connection import NotOpened
 from jackdawcrank_policy.catalog import ListedServer
 from jackdawcrank_policy.sessions import ConnectionContext
 from jackdawcrank_policy.values.position import Position
--- a/packages/jackdawcrank-proxy/tests/relay/test_server_lane.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_server_lane.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jackdawcrank.relay.server_lane import Hopeless, ServerLane
-from jackdawcrank.seams.server_link import NotOpened, OpenFailure
+from jackdawcrank.seams.server_connection import NotOpened, OpenFailure
 from jackdawcrank_policy.sessions import SessionContext
 from jackdawcrank_policy.waiting import WaitLimits
 
