--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
@@ -13,11 +13,11 @@
     StatementLimiter,
 )
 from jackdawcrank.seams.replies import SessionState
-from jackdawcrank.seams.server_link import (
-    LinkOpener,
+from jackdawcrank.seams.server_connection import (
+    ConnectionOpener,
     NotOpened,
     OpenFailure,
-    ServerLink,
+    ServerConnection,
 )
 from jackdawcrank_policy.catalog import ListedServer
 from jackdawcrank_policy.placement import ServerCondition
@@ -45,7 +45,7 @@
 # many proxies connect at the same time when all of them start.
 MAX_OPENING = 1
 
-OpenResult = ServerLink | NotOpened
+OpenResult = ServerConnection | NotOpened
 
 
 @attrs.frozen
@@ -62,7 +62,7 @@
       since: When it became idle, in seconds on the loop's clock.
     """
 
-    link: ServerLink
+    link: ServerConnection
     since: float
 
 
@@ -95,7 +95,7 @@
     def __init__(
         self,
         server: ListedServer,
-        opener: LinkOpener,
+        opener: ConnectionOpener,
         limit: int,
         window: float,
         log: DecisionLog,
@@ -112,10 +112,10 @@
         self.opening = 0
         self.full_until = 0.0
         self.limiter = StatementLimiter(max(MIN_WINDOW, window), limit)
-        self.executing: dict[ServerLink, float] = {}
+        self.executing: dict[ServerConnection, float] = {}
         self.wait_estimator = WaitEstimator()
         self.overload_detector = OverloadDetector()
-        self.in_use: dict[ServerLink, float] = {}
+        self.in_use: dict[ServerConnection, float] = {}
         self.queue: PriorityWaitQueue[asyncio.Future[OpenResult]] = (
             PriorityWaitQueue()
         )
@@ -187,7 +187,7 @@
             self.condition.running = len(self.in_use)
         return granted
 
-    def check_in(self, link: ServerLink) -> None:
+    def check_in(self, link: ServerConnection) -> None:
         """Record that a connection is no longer in use."""
         self.end_statement(link)
         used_since = self.in_use.pop(link, None)
@@ -195,14 +195,16 @@
             self.wait_estimator.record_hold(self.loop.time() - used_since)
             self.condition.running = len(self.in_use)
 
-    def end_statement(self, link: ServerLink) -> None:
+    def end_statement(self, link: ServerConnection) -> None:
         """Record that a connection in use has no statement in flight."""
         sent_at = self.executing.pop(link, None)
         if sent_at is not None:
             self.limiter.leave(self.loop.time() - sent_at)
             self.open_more()
 
-    async def begin_statement(self, link: ServerLink, deadline: float) -> bool:
+    async def begin_statement(
+        self, link: ServerConnection, deadline: float
+    ) -> bool:
         """Wait until a transaction's next statement may be sent.
 
         Returns False if the deadline passed or if the connection was returned
@@ -251,7 +253,7 @@
             self.count += 1
         return opened
 
-    def take_idle(self, context: SessionContext) -> ServerLink | None:
+    def take_idle(self, context: SessionContext) -> ServerConnection | None:
         """Return the idle connection that needs the least setup, or None."""
         while self.idle:
             best = min(
@@ -267,20 +269,20 @@
             self.count -= 1
         return None
 
-    def take(self, index: int) -> ServerLink:
+    def take(self, index: int) -> ServerConnection:
         """Remove a connection from the idle ones and return it."""
         link = self.idle.pop(index).link
         link.on_closed = None
         return link
 
-    def idle_closed(self, link: ServerLink) -> None:
+    def idle_closed(self, link: ServerConnection) -> None:
         """Remove an idle connection that the server has closed."""
         kept = [one for one in self.idle if one.link is not link]
         self.count -= len(self.idle) - len(kept)
         self.idle = kept
         self.on_lost()
 
-    def release(self, link: ServerLink) -> None:
+    def release(self, link: ServerConnection) -> None:
         """Return a connection to the pool.
 
         A connection in a transaction is closed.
@@ -309,7 +311,7 @@
         self.idle.append(IdleLink(link, now))
         link.on_closed = functools.partial(self.idle_closed, link)
 
-    def discard(self, link: ServerLink) -> None:
+    def discard(self, link: ServerConnection) -> None:
         """Close a connection that cannot be reused.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/control_commands.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/control_commands.py
@@ -9,15 +9,15 @@
 from jackdawcrank.relay.clocks import boot_seconds
 from jackdawcrank.relay.connection_pool import ConnectionPool
 from jackdawcrank.seams.commands import (
+    BeginTransaction,
     Command,
-    OpenTransaction,
-    UndoTransaction,
+    RollbackTransaction,
 )
 from jackdawcrank.seams.replies import Problem, Reply, ServerStatus
-from jackdawcrank.seams.server_link import (
+from jackdawcrank.seams.server_connection import (
     NotOpened,
     OpenFailure,
-    ServerLink,
+    ServerConnection,
 )
 
 if typing.TYPE_CHECKING:
@@ -93,7 +93,9 @@
             return PrimaryCheck(pool, link.failure is OpenFailure.FULL)
         sent_at = boot_seconds()
         replies = await self.exchange(
-            pool, link, [OpenTransaction(read_only=False), UndoTransaction()]
+            pool,
+            link,
+            [BeginTransaction(read_only=False), RollbackTransaction()],
         )
         if replies is None:
             return PrimaryCheck(pool, alive=False)
@@ -110,7 +112,10 @@
         return PrimaryCheck(pool, True, is_primary, term)
 
     async def exchange(
-        self, pool: ConnectionPool, link: ServerLink, commands: list[Command]
+        self,
+        pool: ConnectionPool,
+        link: ServerConnection,
+        commands: list[Command],
     ) -> list[Reply] | None:
         """Send commands and return all replies, or None if one is missing.
 
@@ -164,7 +169,9 @@
                 return StatusResult(pool, self.status(link, reply))
             await asyncio.sleep(BUSY_RETRY_SECONDS)
 
-    def status(self, link: ServerLink, reply: Reply) -> ServerStatus | None:
+    def status(
+        self, link: ServerConnection, reply: Reply
+    ) -> ServerStatus | None:
         """Return the status in a reply; log a reply without one."""
         status = link.status_of(reply)
         if status is None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -6,13 +6,13 @@
 from jackdawcrank.relay.group_relay import GroupRelay, ProxyLocation
 from jackdawcrank.relay.homes import Homes
 from jackdawcrank.relay.store_health import StoreHealth
-from jackdawcrank.seams.declaration_source import DeclarationFormat
+from jackdawcrank.seams.declaration_decoder import DeclarationDecoder
 from jackdawcrank.seams.metadata_store import (
     StoredRow,
     TableChanges,
-    TableImage,
+    TableSnapshot,
 )
-from jackdawcrank.seams.server_link import LinkOpener
+from jackdawcrank.seams.server_connection import ConnectionOpener
 from jackdawcrank_policy.catalog import (
     DatabaseSpec,
     Declarations,
@@ -39,8 +39,8 @@
 
     def __init__(
         self,
-        declaration_format: DeclarationFormat,
-        opener: LinkOpener,
+        declaration_format: DeclarationDecoder,
+        opener: ConnectionOpener,
         whereabouts: ProxyLocation,
         store_health: StoreHealth,
         homes: Homes,
@@ -75,7 +75,7 @@
         group = self.groups.get(spec.group)
         return (spec, group) if group else None
 
-    def apply_declarations_image(self, image: TableImage) -> None:
+    def apply_declarations_image(self, image: TableSnapshot) -> None:
         """Apply an image of the declarations table.
 
         Args:
@@ -113,7 +113,7 @@
         )
         self.update_groups()
 
-    def apply_servers_image(self, image: TableImage) -> None:
+    def apply_servers_image(self, image: TableSnapshot) -> None:
         """Apply an image of the servers table.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
@@ -2,8 +2,12 @@
 
 import attrs
 
-from jackdawcrank.seams.commands import Command, Forward, ForwardPrepared
-from jackdawcrank.seams.server_link import ServerLink
+from jackdawcrank.seams.commands import (
+    Command,
+    ForwardPrepared,
+    ForwardStatement,
+)
+from jackdawcrank.seams.server_connection import ServerConnection
 from jackdawcrank_policy.sessions import PreparedStatement, SessionContext
 from jackdawcrank_policy.values.position import Position
 
@@ -26,7 +30,7 @@
 
 
 def setup_commands(
-    link: ServerLink, context: SessionContext, execution: Execution | None
+    link: ServerConnection, context: SessionContext, execution: Execution | None
 ) -> list[Command]:
     """Return the commands that set up a link for a session.
 
@@ -42,7 +46,7 @@
 
 
 def forward_command(
-    link: ServerLink, execution: Execution, needed: Position | None = None
+    link: ServerConnection, execution: Execution, needed: Position | None = None
 ) -> Command:
     """Return the command that carries a caller's statement.
 
@@ -52,6 +56,6 @@
       needed: The position that the server must have reached, or None.
     """
     if execution.prepared is None:
-        return Forward(execution.request_id, execution.text, needed)
+        return ForwardStatement(execution.request_id, execution.text, needed)
     name = link.context.names[execution.prepared]
     return ForwardPrepared(execution.request_id, name, execution.text, needed)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/graceful_shutdown.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/graceful_shutdown.py
@@ -4,7 +4,7 @@
 
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.home_server import HomeServer
-from jackdawcrank.seams.caller_front import CallerFront
+from jackdawcrank.seams.caller_frontend import CallerFrontend
 from jackdawcrank.seams.replies import SessionState
 
 # The load balancer checks a VM once a second and removes it after two failed
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        front: CallerFront,
+        front: CallerFrontend,
         home_server: HomeServer,
         grace_seconds: float,
         log: DecisionLog,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -13,7 +13,7 @@
 from jackdawcrank.relay.control_commands import ControlCommands
 from jackdawcrank.relay.homes import Homes
 from jackdawcrank.relay.store_health import StoreHealth
-from jackdawcrank.seams.server_link import LinkOpener, OpenFailure
+from jackdawcrank.seams.server_connection import ConnectionOpener, OpenFailure
 from jackdawcrank_policy.catalog import ListedServer, ServedGroup
 from jackdawcrank_policy.placement import (
     Distance,
@@ -108,7 +108,7 @@
     def __init__(
         self,
         group: ServedGroup,
-        opener: LinkOpener,
+        opener: ConnectionOpener,
         proxy_location: ProxyLocation,
         contact: StoreHealth,
         homes: Homes,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -12,12 +12,15 @@
 from jackdawcrank.relay.control_commands import StatusResult
 from jackdawcrank.relay.group_relay import GroupRelay
 from jackdawcrank.seams.commands import (
-    AskStatus,
-    Freeze,
-    StepDown,
-    Thaw,
+    Demote,
+    QueryStatus,
+    ResumeReplication,
+    SuspendReplication,
+)
+from jackdawcrank.seams.promotion_service import (
+    PromotionResult,
+    PromotionService,
 )
-from jackdawcrank.seams.lead_authority import LeadAnswer, LeadAuthority
 from jackdawcrank.seams.replies import ServerStatus
 from jackdawcrank_policy.succession import (
     MIN_LAG_SECONDS,
@@ -91,7 +94,7 @@
         vm: str,
         process: str,
         claims: ClaimRows,
-        authority: LeadAuthority,
+        authority: PromotionService,
         log: DecisionLog,
         rng: random.Random,
     ) -> None:
@@ -258,11 +261,13 @@
         primary = self.group.primary_pool()
         if primary is None:
             return []
-        primary_reply = await self.questions.send_command(primary, AskStatus())
+        primary_reply = await self.questions.send_command(
+            primary, QueryStatus()
+        )
         if primary_reply.status is None:
             return []
         replicas = self.replicas(primary)
-        answers = await self.questions.send_to_all(replicas, AskStatus())
+        answers = await self.questions.send_to_all(replicas, QueryStatus())
         return [
             one.status
             for one in answers
@@ -299,12 +304,14 @@
         replicas = self.replicas(old_primary)
         if await self.adopt_primary(replicas):
             return ReplacementResult.NOTHING_DONE
-        answers = await self.questions.send_to_all(replicas, AskStatus())
+        answers = await self.questions.send_to_all(replicas, QueryStatus())
         term = max(
             [self.next_term()]
             + [one.status.term + 1 for one in answers if one.status]
         )
-        answers = await self.questions.send_to_all(replicas, Freeze(term))
+        answers = await self.questions.send_to_all(
+            replicas, SuspendReplication(term)
+        )
         choice = choose_successor(
             [
                 FrozenServer(
@@ -350,7 +357,8 @@
     async def thaw(self, frozen: list[StatusResult]) -> None:
         """Let frozen replicas receive entries again."""
         await self.questions.send_to_all(
-            [one.pool for one in frozen if one.status is not None], Thaw()
+            [one.pool for one in frozen if one.status is not None],
+            ResumeReplication(),
         )
 
     async def promote_server(
@@ -376,10 +384,10 @@
                 token=claim.token,
                 answer=answer.value,
             )
-            if answer is LeadAnswer.DONE:
+            if answer is PromotionResult.DONE:
                 return await self.await_promotion(server_id, frozen)
-            unanswered = unanswered or answer is LeadAnswer.UNANSWERED
-            if answer is LeadAnswer.REFUSED:
+            unanswered = unanswered or answer is PromotionResult.UNANSWERED
+            if answer is PromotionResult.REFUSED:
                 # Another process holds the claim, or the server is down.
                 return (
                     ReplacementResult.UNANSWERED
@@ -467,7 +475,7 @@
             one for one in self.replicas(old_primary) if not one.server.leaving
         ]
         answers = await self.questions.send_to_all(
-            staying_replicas, AskStatus()
+            staying_replicas, QueryStatus()
         )
         if not any(one.status for one in answers):
             self.log.event("no_successor", group=self.group.name, missing=())
@@ -475,7 +483,7 @@
         terms = [one.status.term + 1 for one in answers if one.status]
         term = max([self.next_term(), *terms])
         step_down_reply = await self.questions.send_command(
-            old_primary, StepDown(term)
+            old_primary, Demote(term)
         )
         if step_down_reply.status is None:
             return await self.fail_over(held_claim, old_primary)
@@ -498,7 +506,7 @@
         """Return the nearest replica that received a position, or None."""
         deadline = self.loop.time() + CATCH_UP_TIMEOUT_SECONDS
         while self.loop.time() < deadline:
-            answers = await self.questions.send_to_all(pools, AskStatus())
+            answers = await self.questions.send_to_all(pools, QueryStatus())
             candidates = [
                 one.pool
                 for one in answers
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
@@ -76,7 +76,7 @@
       homes: Selects the homes of a group.
       log: Records routing events.
       followers: The followers of the store's tables, by table.
-      notice_dead_peer: Sets the socket options that detect a dead peer.
+      detect_dead_peer: Sets the socket options that detect a dead peer.
       routes: Connection state of the other proxies, by VM.
     """
 
@@ -86,13 +86,13 @@
         homes: Homes,
         log: DecisionLog,
         followers: Mapping[str, TableFollower],
-        notice_dead_peer: Callable[[asyncio.BaseTransport], None],
+        detect_dead_peer: Callable[[asyncio.BaseTransport], None],
     ) -> None:
         self.local = local
         self.homes = homes
         self.log = log
         self.followers = followers
-        self.notice_dead_peer = notice_dead_peer
+        self.detect_dead_peer = detect_dead_peer
         self.routes: dict[str, Route] = {}
         self.loop = asyncio.get_running_loop()
 
@@ -266,7 +266,7 @@
         """Connect to a home and update its route."""
         try:
             route.stream = await open_stream(
-                member, self.followers, self.notice_dead_peer
+                member, self.followers, self.detect_dead_peer
             )
         finally:
             route.opening = None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
@@ -100,7 +100,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection."""
         super().connection_made(transport)
-        self.home.notice_dead_peer(transport)
+        self.home.detect_dead_peer(transport)
         self.home.connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -237,7 +237,7 @@
       runner: Runs the forwarded statements.
       directory: Looks up database groups.
       log: Records malformed messages.
-      notice_dead_peer: Sets the socket options that detect a dead peer.
+      detect_dead_peer: Sets the socket options that detect a dead peer.
       teller: Sends changes of the store's tables to subscribed proxies.
       connections: The open connections.
       forwarding_seen: Set when a proxy has forwarded a request to this home.
@@ -251,7 +251,7 @@
         runner: StatementRunner,
         directory: Directory,
         log: DecisionLog,
-        notice_dead_peer: Callable[[asyncio.BaseTransport], None],
+        detect_dead_peer: Callable[[asyncio.BaseTransport], None],
         teller: TablePublisher,
     ) -> None:
         self.host = host
@@ -259,7 +259,7 @@
         self.runner = runner
         self.directory = directory
         self.log = log
-        self.notice_dead_peer = notice_dead_peer
+        self.detect_dead_peer = detect_dead_peer
         self.teller = teller
         self.connections: set[HomeConnection] = set()
         self.forwarding_seen = asyncio.Event()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
@@ -59,7 +59,7 @@
 
     Attributes:
       followers: The followers that apply received table updates, by table.
-      notice_dead_peer: Sets the socket options that detect a dead peer.
+      detect_dead_peer: Sets the socket options that detect a dead peer.
       leaving: Whether the home has asked for no new requests.
       subscribed: The tables to which this proxy is subscribed.
       subscribed_at: When the last subscription was sent.
@@ -71,11 +71,11 @@
     def __init__(
         self,
         followers: Mapping[str, TableFollower],
-        notice_dead_peer: Callable[[asyncio.BaseTransport], None],
+        detect_dead_peer: Callable[[asyncio.BaseTransport], None],
     ) -> None:
         super().__init__()
         self.followers = followers
-        self.notice_dead_peer = notice_dead_peer
+        self.detect_dead_peer = detect_dead_peer
         self.leaving = False
         self.subscribed: set[str] = set()
         self.subscribed_at = 0.0
@@ -87,7 +87,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and set its socket options."""
         super().connection_made(transport)
-        self.notice_dead_peer(transport)
+        self.detect_dead_peer(transport)
 
     def subscribe(self, tables: Iterable[str]) -> None:
         """Subscribe to the tables that are not subscribed yet.
@@ -211,20 +211,20 @@
 async def open_stream(
     member: Member,
     followers: Mapping[str, TableFollower],
-    notice_dead_peer: Callable[[asyncio.BaseTransport], None],
+    detect_dead_peer: Callable[[asyncio.BaseTransport], None],
 ) -> HomeStream | None:
     """Return a stream to a home, or None if it cannot be reached.
 
     Args:
       member: The home.
       followers: The followers that apply received table updates, by table.
-      notice_dead_peer: Sets the socket options that detect a dead peer.
+      detect_dead_peer: Sets the socket options that detect a dead peer.
     """
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(HOME_CONNECT_TIMEOUT_SECONDS):
             _, stream = await loop.create_connection(
-                lambda: HomeStream(followers, notice_dead_peer),
+                lambda: HomeStream(followers, detect_dead_peer),
                 member.host,
                 member.port,
             )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
@@ -9,12 +9,12 @@
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.seams.metadata_store import (
     MetadataStore,
-    RowChangedMeanwhile,
+    RevisionConflict,
     RowWritten,
     StoredRow,
     StoreFailure,
     TableChanges,
-    TableImage,
+    TableSnapshot,
 )
 from jackdawcrank.timer.subscription import Subscription
 from jackdawcrank.timer.timer import Timer
@@ -103,7 +103,7 @@
         """Assume that all running VMs have written their rows."""
         self.complete = True
 
-    def apply_image(self, image: TableImage) -> None:
+    def apply_image(self, image: TableSnapshot) -> None:
         """Apply an image of the table; write this VM's row if outdated.
 
         Args:
@@ -202,13 +202,13 @@
             return
         if isinstance(written, StoreFailure):
             self.log.event("member_unwritten", detail=written.detail)
-        if isinstance(written, RowChangedMeanwhile):
+        if isinstance(written, RevisionConflict):
             await self.read_own_row()
         self.schedule_write(RETRY_SECONDS * self.rng.uniform(0.5, 1.5))
 
     async def read_own_row(self) -> None:
         """Read this VM's row after a conflicting write."""
         image = await self.store.read_table(MEMBERS_TABLE, self.own.vm)
-        if isinstance(image, TableImage):
+        if isinstance(image, TableSnapshot):
             for row in image.rows:
                 self.apply_row(row)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -15,9 +15,13 @@
 )
 from jackdawcrank.relay.refusal_backoff import refusal_backoff_seconds
 from jackdawcrank.relay.session_view import SessionView
-from jackdawcrank.seams.commands import Command, ForwardCommit, UndoTransaction
+from jackdawcrank.seams.commands import (
+    Command,
+    ForwardCommit,
+    RollbackTransaction,
+)
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
-from jackdawcrank.seams.server_link import ServerLink
+from jackdawcrank.seams.server_connection import ServerConnection
 
 if typing.TYPE_CHECKING:
     from jackdawcrank.relay.group_relay import GroupRelay
@@ -52,7 +56,7 @@
         self,
         group: "GroupRelay",
         lane: ConnectionPool,
-        link: ServerLink,
+        link: ServerConnection,
         on_primary: bool,
         timeout_seconds: float,
     ) -> None:
@@ -284,7 +288,7 @@
             return
         self.ended = True
         release_after(
-            self.lane, self.link, self.link.send([UndoTransaction()])[0]
+            self.lane, self.link, self.link.send([RollbackTransaction()])[0]
         )
 
     def release(self) -> None:
@@ -301,7 +305,7 @@
 
 
 def release_after(
-    lane: ConnectionPool, link: ServerLink, future: asyncio.Future[Reply]
+    lane: ConnectionPool, link: ServerConnection, future: asyncio.Future[Reply]
 ) -> None:
     """Return a connection to its pool after its last command is answered.
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -28,11 +28,11 @@
 from jackdawcrank.relay.table_follower import TableFollower
 from jackdawcrank.relay.table_publisher import TablePublisher
 from jackdawcrank.relay.upstream_selector import UpstreamSelector
-from jackdawcrank.seams.caller_front import CallerFront
-from jackdawcrank.seams.declaration_source import DeclarationFormat
-from jackdawcrank.seams.lead_authority import LeadAuthority
+from jackdawcrank.seams.caller_frontend import CallerFrontend
+from jackdawcrank.seams.declaration_decoder import DeclarationDecoder
 from jackdawcrank.seams.metadata_store import MetadataStore
-from jackdawcrank.seams.server_link import LinkOpener
+from jackdawcrank.seams.promotion_service import PromotionService
+from jackdawcrank.seams.server_connection import ConnectionOpener
 from jackdawcrank.timer import TimerService
 from jackdawcrank_policy.homes import Member
 
@@ -80,12 +80,12 @@
         self,
         settings: RelaySettings,
         store: MetadataStore,
-        declaration_format: DeclarationFormat,
-        opener: LinkOpener,
-        authority: LeadAuthority,
-        front: CallerFront,
+        declaration_format: DeclarationDecoder,
+        opener: ConnectionOpener,
+        authority: PromotionService,
+        front: CallerFrontend,
         log: DecisionLog,
-        notice_dead_peer: Callable[[asyncio.BaseTransport], None],
+        detect_dead_peer: Callable[[asyncio.BaseTransport], None],
     ) -> None:
         rng = random.Random()
         self.settings = settings
@@ -148,7 +148,7 @@
         self.members.store_seconds = self.followers[MEMBERS_TABLE].store_seconds
         runner = StatementRunner(self.directory, log)
         self.router = HomeRouter(
-            runner, self.homes, log, self.followers, notice_dead_peer
+            runner, self.homes, log, self.followers, detect_dead_peer
         )
         self.teller = TablePublisher(self.followers.values())
         self.contacts = UpstreamSelector(
@@ -160,7 +160,7 @@
             runner,
             self.directory,
             log,
-            notice_dead_peer,
+            detect_dead_peer,
             self.teller,
         )
         # Unique per process, so that a restarted process does not treat the
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -24,7 +24,11 @@
 from jackdawcrank.relay.session_view import SessionView
 from jackdawcrank.seams import commands
 from jackdawcrank.seams.replies import NOT_RUN, Problem, Reply
-from jackdawcrank.seams.server_link import NotOpened, OpenFailure, ServerLink
+from jackdawcrank.seams.server_connection import (
+    NotOpened,
+    OpenFailure,
+    ServerConnection,
+)
 from jackdawcrank_policy.catalog import Consistency, DatabaseSpec
 from jackdawcrank_policy.values.position import Position
 from jackdawcrank_policy.waiting import OVERLOAD_WAIT_SHARE, WaitLimits
@@ -264,7 +268,7 @@
         self,
         group: GroupRelay,
         pool: ConnectionPool,
-        link: ServerLink,
+        link: ServerConnection,
         future: asyncio.Future[Reply],
         attempts: Attempts,
     ) -> Reply | None:
@@ -288,7 +292,7 @@
         self,
         group: GroupRelay,
         pool: ConnectionPool,
-        link: ServerLink,
+        link: ServerConnection,
         attempts: Attempts,
         start: float,
         limit: float,
@@ -366,9 +370,9 @@
         pool, link = acquired
         batch = setup_commands(link, session.context, execution)
         opening = len(batch)
-        batch.append(commands.OpenTransaction(read_only=False))
+        batch.append(commands.BeginTransaction(read_only=False))
         batch.append(forward_command(link, execution))
-        batch.append(commands.UndoTransaction())
+        batch.append(commands.RollbackTransaction())
         sent_at = boot_seconds()
         futures = link.send(batch)
         reply = await self.read_reply(group, pool, link, futures[-2], attempts)
@@ -471,7 +475,7 @@
             link = read_link
         batch = setup_commands(link, session.context, execution)
         batch.append(
-            commands.OpenTransaction(read_only=not on_primary, needed=needed)
+            commands.BeginTransaction(read_only=not on_primary, needed=needed)
         )
         start = self.loop.time()
         limit = self.attempt_seconds(pool, attempts, start)
@@ -493,7 +497,7 @@
 
     async def acquire_primary_link(
         self, session: SessionView, attempts: Attempts
-    ) -> tuple[ConnectionPool, ServerLink] | None:
+    ) -> tuple[ConnectionPool, ServerConnection] | None:
         """Return a connection to the primary, or None."""
         _, group = resolved(session)
         pool = await group.wait_for_primary(attempts.deadline)
@@ -506,7 +510,7 @@
 
     async def acquire_link(
         self, pool: ConnectionPool, session: SessionView, attempts: Attempts
-    ) -> ServerLink | None:
+    ) -> ServerConnection | None:
         """Return a connection of a pool, or None if there is none in time."""
         spec, group = resolved(session)
         attempts.server = pool.server.server_id
@@ -539,7 +543,7 @@
         return WaitLimits(spec.priority, latest, min(latest, early))
 
     def give_back(
-        self, pool: ConnectionPool, link: ServerLink, broken: bool
+        self, pool: ConnectionPool, link: ServerConnection, broken: bool
     ) -> None:
         """Return a connection to its pool after a statement, or close it."""
         if broken:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
@@ -8,12 +8,12 @@
 from jackdawcrank.decisions import DecisionLog
 from jackdawcrank.relay.store_health import StoreHealth
 from jackdawcrank.seams.metadata_store import (
-    HistoryGone,
+    HistoryTrimmed,
     MetadataStore,
     StoredRow,
     StoreFailure,
     TableChanges,
-    TableImage,
+    TableSnapshot,
 )
 from jackdawcrank_policy.retry.backoff import backoff_seconds
 
@@ -83,7 +83,7 @@
         table: str,
         wait_seconds: float,
         discovery_seconds: float,
-        on_image: Callable[[TableImage], None],
+        on_image: Callable[[TableSnapshot], None],
         on_changes: Callable[[TableChanges], None],
         store_health: StoreHealth,
         log: DecisionLog,
@@ -176,7 +176,7 @@
             await self.failed(changes)
             return
         self.answered()
-        if isinstance(changes, HistoryGone):
+        if isinstance(changes, HistoryTrimmed):
             self.log.event("history_gone", table=self.table, after=revision)
             self.must_read = True
             return
@@ -184,7 +184,7 @@
         if changes.rows or changes.removed:
             await asyncio.sleep(COALESCE_SECONDS)
 
-    def apply_image(self, image: TableImage) -> None:
+    def apply_image(self, image: TableSnapshot) -> None:
         """Apply an image, read from the store or sent by an upstream VM.
 
         Args:
@@ -232,11 +232,11 @@
         if self.revision is not None:
             self.revision = max(self.revision, revision)
 
-    def image(self) -> TableImage | None:
+    def image(self) -> TableSnapshot | None:
         """Return the known table; None before the first image."""
         if self.revision is None:
             return None
-        return TableImage(
+        return TableSnapshot(
             tuple(self.rows.values()),
             self.last_change_revision,
             self.store_seconds(),
--- /dev/null
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/caller_frontend.py
@@ -0,0 +1,42 @@
+"""Interface of the component that accepts callers' connections."""
+
+import typing
+
+from jackdawcrank.relay.caller_session import CallerSession
+
+
+class SessionFactory(typing.Protocol):
+    """Creates sessions for connected callers."""
+
+    async def open_session(self, database: str) -> CallerSession | None:
+        """Return a new session; None if the database is not declared.
+
+        Args:
+          database: The database that the caller asked for.
+
+        Raises:
+          TimeoutError: The configuration has not been read yet.
+        """
+
+    def readiness(self) -> bool:
+        """Return whether this process is ready for new callers."""
+
+
+class CallerFrontend(typing.Protocol):
+    """Accepts callers and passes their statements to sessions."""
+
+    async def start(self, sessions: SessionFactory) -> None:
+        """Start accepting callers.
+
+        Args:
+          sessions: Creates the callers' sessions.
+        """
+
+    def close_idle(self) -> None:
+        """Close connections without a running statement or transaction."""
+
+    def sessions(self) -> list[CallerSession]:
+        """Return the sessions of all open connections."""
+
+    async def close(self) -> None:
+        """Stop accepting callers and close all connections."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/seams/statements.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/seams/statements.py
@@ -1,14 +1,14 @@
-"""What a caller's session may ask."""
+"""Statements that a caller can send on a session."""
 
 import attrs
 
 
 @attrs.frozen
 class Begin:
-    """Opens a transaction.
+    """Begins a transaction.
 
     Attributes:
-      read_only: Whether it may not write.
+      read_only: Whether writes are not allowed in it.
     """
 
     read_only: bool
@@ -16,21 +16,21 @@
 
 @attrs.frozen
 class Commit:
-    """Commits the transaction."""
+    """Commits the open transaction."""
 
 
 @attrs.frozen
 class Rollback:
-    """Rolls the transaction back."""
+    """Rolls back the open transaction."""
 
 
 @attrs.frozen
 class DataStatement:
-    """Reads or writes data; forwarded as it stands.
+    """Reads or writes data; forwarded unchanged.
 
     Attributes:
-      writes: Whether it changes data.
-      text: The caller's text.
+      writes: Whether the statement changes data.
+      text: The text as received from the caller.
     """
 
     writes: bool
@@ -42,8 +42,8 @@
     """Executes a prepared statement.
 
     Attributes:
-      name: The caller's name of it.
-      arguments: The rest of the caller's text.
+      name: The caller's name of the prepared statement.
+      arguments: The arguments, as received from the caller.
     """
 
     name: str
@@ -51,13 +51,13 @@
 
 
 @attrs.frozen
-class DefineName:
-    """Prepares a statement.
+class DefinePrepared:
+    """Defines a prepared statement.
 
     Attributes:
-      name: The caller's name for it.
-      writes: Whether it changes data.
-      shape: Its text.
+      name: The caller's name of the prepared statement.
+      writes: Whether the statement changes data.
+      shape: The text of the statement.
     """
 
     name: str
@@ -66,23 +66,23 @@
 
 
 @attrs.frozen
-class DropName:
-    """Forgets a prepared statement.
+class DeallocatePrepared:
+    """Deallocates a prepared statement.
 
     Attributes:
-      name: The caller's name of it.
+      name: The caller's name of the prepared statement.
     """
 
     name: str
 
 
 @attrs.frozen
-class AssignValue:
-    """Sets a session value.
+class SetSessionValue:
+    """Sets a session variable.
 
     Attributes:
-      name: The value's name.
-      value: The value.
+      name: The name of the variable.
+      value: The new value.
     """
 
     name: str
@@ -90,11 +90,11 @@
 
 
 @attrs.frozen
-class Unreadable:
-    """A text that is no statement.
+class InvalidStatement:
+    """A text that is not a valid statement.
 
     Attributes:
-      detail: What is wrong with it.
+      detail: Why the text is not valid.
     """
 
     detail: str
@@ -106,8 +106,8 @@
     | Rollback
     | DataStatement
     | ExecutePrepared
-    | DefineName
-    | DropName
-    | AssignValue
-    | Unreadable
+    | DefinePrepared
+    | DeallocatePrepared
+    | SetSessionValue
+    | InvalidStatement
 )
--- a/packages/jackdawcrank-proxy/tests/relay/test_connection_pool.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_connection_pool.py
@@ -3,7 +3,7 @@
 import pytest
 
 from jackdawcrank.relay.connection_pool import ConnectionPool, WaitLimitExceeded
-from jackdawcrank.seams.server_link import NotOpened, OpenFailure
+from jackdawcrank.seams.server_connection import NotOpened, OpenFailure
 from jackdawcrank_policy.sessions import SessionContext
 from jackdawcrank_policy.waiting import WaitLimits
 
--- a/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_table_follower.py
@@ -10,11 +10,11 @@
 from jackdawcrank.relay.table_follower import TableFollower
 from jackdawcrank.relay.table_publisher import TablePublisher
 from jackdawcrank.seams.metadata_store import (
-    HistoryGone,
+    HistoryTrimmed,
     StoredRow,
     StoreFailure,
     TableChanges,
-    TableImage,
+    TableSnapshot,
 )
 
 from .conftest import run_ready_tasks
@@ -24,8 +24,8 @@
 class FakeStore:
     """A store whose answers the test sets; other calls wait forever."""
 
-    image: TableImage | StoreFailure = TableImage((), 5, 100.0)
-    answers: asyncio.Queue[TableChanges | HistoryGone | StoreFailure] = (
+    image: TableSnapshot | StoreFailure = TableSnapshot((), 5, 100.0)
+    answers: asyncio.Queue[TableChanges | HistoryTrimmed | StoreFailure] = (
         attrs.Factory(asyncio.Queue)
     )
     reads: int = 0
@@ -33,13 +33,13 @@
 
     async def read_table(
         self, table: str, key: str | None = None
-    ) -> TableImage | StoreFailure:
+    ) -> TableSnapshot | StoreFailure:
         self.reads += 1
         return self.image
 
     async def follow(
         self, table: str, after: int, wait_seconds: float
-    ) -> TableChanges | HistoryGone | StoreFailure:
+    ) -> TableChanges | HistoryTrimmed | StoreFailure:
         self.followed_revisions.append(after)
         return await self.answers.get()
 
@@ -84,7 +84,7 @@
 async def test_changes_follow_the_image(
     follower: TableFollower, store: FakeStore
 ) -> None:
-    store.image = TableImage((row("a", 3),), 5, 100.0)
+    store.image = TableSnapshot((row("a", 3),), 5, 100.0)
     await follower.start()
     await run_ready_tasks()
     store.answers.put_nowait(TableChanges((row("b", 7),), ("a",), 7))
@@ -94,9 +94,9 @@
 
 
 async def test_older_revisions_change_nothing(follower: TableFollower) -> None:
-    follower.apply_image(TableImage((row("a", 8),), 9, 100.0))
+    follower.apply_image(TableSnapshot((row("a", 8),), 9, 100.0))
     follower.apply_changes(TableChanges((), ("a",), 7))
-    follower.apply_image(TableImage((), 9, 100.0))
+    follower.apply_image(TableSnapshot((), 9, 100.0))
     assert set(follower.rows) == {"a"}
 
 
@@ -106,8 +106,8 @@
     await follower.start()
     await run_ready_tasks()
     follower.has_upstreams = lambda _table: True
-    store.image = TableImage((row("a", 30),), 31, 130.0)
-    store.answers.put_nowait(HistoryGone())
+    store.image = TableSnapshot((row("a", 30),), 31, 130.0)
+    store.answers.put_nowait(HistoryTrimmed())
     await run_ready_tasks()
     assert store.reads == 2
     assert (follower.revision, set(follower.rows)) == (31, {"a"})
@@ -116,7 +116,7 @@
 async def test_store_is_not_called_while_upstreams_are_live(
     follower: TableFollower, store: FakeStore
 ) -> None:
-    follower.apply_image(TableImage((), 5, 100.0))
+    follower.apply_image(TableSnapshot((), 5, 100.0))
     follower.has_upstreams = lambda _table: True
     await follower.start()
     await run_ready_tasks()
@@ -127,7 +127,7 @@
 async def test_last_change_revision_skips_empty_changes(
     follower: TableFollower,
 ) -> None:
-    follower.apply_image(TableImage((), 5, 100.0))
+    follower.apply_image(TableSnapshot((), 5, 100.0))
     # No row of this table changed up to revision 9.
     follower.apply_changes(TableChanges((), (), 9))
     follower.advance_revision(12)
@@ -143,7 +143,7 @@
     early, late = FakeSubscriber(), FakeSubscriber()
     publisher.subscribe(early, ["op", "nonsense"])
     assert early.sent == []
-    follower.apply_image(TableImage((row("a", 3),), 5, 100.0))
+    follower.apply_image(TableSnapshot((row("a", 3),), 5, 100.0))
     follower.apply_changes(TableChanges((row("b", 7),), (), 7))
     publisher.subscribe(late, ["op"])
     # The early subscriber got an image and a change, the late one an image
@@ -158,7 +158,7 @@
     follower: TableFollower,
 ) -> None:
     publisher, subscriber = TablePublisher([follower]), FakeSubscriber()
-    follower.apply_image(TableImage((), 5, 100.0))
+    follower.apply_image(TableSnapshot((), 5, 100.0))
     follower.has_upstreams = lambda _table: True
     publisher.subscribe(subscriber, ["op"])
     await publisher.send_heartbeats(0.0)
