--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
@@ -28,8 +28,8 @@
 class ReadVerdict(enum.Enum):
     """What becomes of a primary's answer to a read."""
 
-    STANDS = enum.auto()
-    READ_AGAIN = enum.auto()
+    VALID = enum.auto()
+    RETRY = enum.auto()
 
 
 class Acknowledger:
@@ -72,7 +72,9 @@
                     verdict, position, term, deadline
                 )
                 continue
-            settled = await self._settle(verdict, position, deadline)
+            settled = await self._resolve_in_later_term(
+                verdict, position, deadline
+            )
             if not isinstance(settled, int):
                 return settled
             term, replies = settled, {}
@@ -98,13 +100,13 @@
                 replies,
             )
             if isinstance(verdict, Done):
-                return ReadVerdict.STANDS
-            late = self.state.clock() >= deadline
-            if late or not isinstance(verdict, NeedConfirmation):
-                return ReadVerdict.READ_AGAIN
+                return ReadVerdict.VALID
+            expired = self.state.clock() >= deadline
+            if expired or not isinstance(verdict, NeedConfirmation):
+                return ReadVerdict.RETRY
             replies |= await self._probe_terms(verdict.servers)
 
-    async def _settle(
+    async def _resolve_in_later_term(
         self, wait: AwaitTerm, position: Position, deadline: float
     ) -> int | Failed | Unknown:
         row = await self.state.active_row_above(wait.closed_term, deadline)
@@ -126,33 +128,33 @@
     ) -> dict[str, int | None]:
         remaining = max(0.01, deadline - self.state.clock())
         timeout = min(CONFIRM_SECONDS, remaining)
-        asked = {
+        tasks = {
             asyncio.create_task(
                 self.state.controls[name].confirm(position, timeout)
             ): name
             for name in need.servers
         }
-        replies = await self._enough(asked, term, need.count)
+        replies = await self._collect_replies(tasks, term, need.count)
         # Those that are not needed any more must not hold the caller.
         return dict.fromkeys(need.servers) | replies
 
-    async def _enough(
+    async def _collect_replies(
         self,
-        asked: "dict[asyncio.Task[int | None], str]",
+        tasks: "dict[asyncio.Task[int | None], str]",
         term: int,
         count: int,
     ) -> dict[str, int | None]:
         """Return the replies up to the last that is needed."""
         replies: dict[str, int | None] = {}
-        waiting = set(asked)
+        pending = set(tasks)
         try:
-            while waiting and _confirmed(replies, term) < count:
-                done, waiting = await asyncio.wait(
-                    waiting, return_when=asyncio.FIRST_COMPLETED
+            while pending and _confirmed(replies, term) < count:
+                done, pending = await asyncio.wait(
+                    pending, return_when=asyncio.FIRST_COMPLETED
                 )
-                replies |= {asked[task]: task.result() for task in done}
+                replies |= {tasks[task]: task.result() for task in done}
         finally:
-            for task in waiting:
+            for task in pending:
                 task.cancel()
         return replies
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/admission_gate.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/admission_gate.py
@@ -13,7 +13,7 @@
 )
 from jackdawcrank_policy.values import NotRun
 
-EXPIRY_SECONDS = 0.02
+EXPIRY_CHECK_SECONDS = 0.02
 
 
 class AdmissionGate:
@@ -29,8 +29,8 @@
         self.admission = admission
         self.clock = clock
         self.numbers = itertools.count(1)
-        self.waiting: dict[int, asyncio.Future[NotRun | None]] = {}
-        self.ticking = False
+        self.waiters: dict[int, asyncio.Future[NotRun | None]] = {}
+        self.expiry_scheduled = False
 
     async def enter(
         self, caller: str, caller_class: str, weight: int, deadline: float
@@ -53,7 +53,7 @@
             return request.number
         return await self._wait(request, decision)
 
-    def enter_at_once(self, caller: str) -> int:
+    def enter_over_limit(self, caller: str) -> int:
         """Take a slot beyond the limit, for a transaction that goes on.
 
         Args:
@@ -86,19 +86,19 @@
     ) -> int | NotRun:
         future: asyncio.Future[NotRun | None]
         future = asyncio.get_running_loop().create_future()
-        self.waiting[request.number] = future
+        self.waiters[request.number] = future
         self._deliver(queued.displaced)
-        self._tick_later()
+        self._schedule_expiry()
         try:
             refusal = await future
         except asyncio.CancelledError:
-            self._abandon(request, future)
+            self._withdraw(request, future)
             raise
         finally:
-            self.waiting.pop(request.number, None)
+            self.waiters.pop(request.number, None)
         return request.number if refusal is None else refusal
 
-    def _abandon(
+    def _withdraw(
         self, request: AdmissionRequest, future: asyncio.Future[NotRun | None]
     ) -> None:
         admitted = future.done() and not future.cancelled()
@@ -109,7 +109,7 @@
 
     def _deliver(self, decisions: Iterable[Admitted | Refused]) -> None:
         for decision in decisions:
-            future = self.waiting.get(decision.request.number)
+            future = self.waiters.get(decision.request.number)
             if future is None or future.done():
                 continue
             if isinstance(decision, Refused):
@@ -117,14 +117,14 @@
             else:
                 future.set_result(None)
 
-    def _tick_later(self) -> None:
-        if not self.ticking:
-            self.ticking = True
+    def _schedule_expiry(self) -> None:
+        if not self.expiry_scheduled:
+            self.expiry_scheduled = True
             loop = asyncio.get_running_loop()
-            loop.call_later(EXPIRY_SECONDS, self._tick)
+            loop.call_later(EXPIRY_CHECK_SECONDS, self._expire)
 
-    def _tick(self) -> None:
-        self.ticking = False
+    def _expire(self) -> None:
+        self.expiry_scheduled = False
         self._deliver(self.admission.expire(self.clock()))
-        if self.waiting:
-            self._tick_later()
+        if self.waiters:
+            self._schedule_expiry()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
@@ -98,7 +98,7 @@
         self.controls: dict[str, MysqlControl] = {}
         # Only a predecessor of the same name can have left connections.
         started_at = clock() if was_writer else -math.inf
-        self.ledger = ConnectionBudget(self._budget(), started_at)
+        self.connection_budget = ConnectionBudget(self._budget(), started_at)
         self.term_changed = Signal()
         self.evidence_changed = Signal()
         self.failover_waiters = 0
@@ -152,7 +152,7 @@
           spec: The new declaration.
         """
         self.spec = spec
-        self.ledger.limit = self._budget()
+        self.connection_budget.limit = self._budget()
 
     def set_servers(self, servers: Sequence[ServerSpec]) -> list[str]:
         """Follow a change of the declared servers; return those that left.
@@ -168,7 +168,7 @@
         for name in gone:
             self.pools[name].drain()
         for server in servers:
-            self._follow_leaving(server)
+            self._update_draining(server)
         latencies = {n: load.latency for n, load in self.table.loads.items()}
         slots = self.spec.slots_per_server
         self.table.set_servers(servers, slots, latencies)
@@ -186,11 +186,11 @@
             return False
         self.row = row
         self.row_version = version
-        self.ledger.apply(row.writers, version, self.clock())
+        self.connection_budget.apply(row.writers, version, self.clock())
         if row.phase is GroupPhase.ACTIVE:
             self.table.primary = row.primary
             self.table.evidence.begin_term(row.branch)
-            self._abandon_older_terms(row.term)
+            self._schedule_close_older_terms(row.term)
         self.hold_term()
         self.apply_budget()
         self.term_changed.notify()
@@ -238,7 +238,9 @@
     def apply_budget(self) -> None:
         """Give each server's pool its share of the group's connections."""
         count = max(1, len(self.servers))
-        share = self.ledger.server_share(self.vm, count, self.clock())
+        share = self.connection_budget.server_share(
+            self.vm, count, self.clock()
+        )
         for name in self.servers:
             pool = self.pools[name]
             pool.limit = share
@@ -255,7 +257,7 @@
 
     def has_budget(self) -> bool:
         """Return whether this VM may hold connections to the group."""
-        return self.ledger.share(self.vm, self.clock()) > 0
+        return self.connection_budget.share(self.vm, self.clock()) > 0
 
     def lease_state(self, term: int) -> LeaseState:
         """Return whether this proxy may act for a term at this moment.
@@ -353,13 +355,15 @@
             if primary is not None:
                 return primary
 
-    def _abandon_older_terms(self, term: int) -> None:
+    def _schedule_close_older_terms(self, term: int) -> None:
         """Close connections on which a replaced primary owes an answer."""
         if any(started < term for started in self.busy_links.values()):
             loop = asyncio.get_running_loop()
-            loop.call_later(OLD_TERM_GRACE_SECONDS, self._close_older, term)
+            loop.call_later(
+                OLD_TERM_GRACE_SECONDS, self._close_older_terms, term
+            )
 
-    def _close_older(self, term: int) -> None:
+    def _close_older_terms(self, term: int) -> None:
         for link, started in tuple(self.busy_links.items()):
             if started < term:
                 link.close()
@@ -387,12 +391,12 @@
         until = self.clock() + QUIESCE_SECONDS
         self.quiescing += 1
         try:
-            while self.busy_links and (left := until - self.clock()) > 0:
-                await self.link_freed.wait(left)
+            while self.busy_links and (remaining := until - self.clock()) > 0:
+                await self.link_freed.wait(remaining)
         finally:
             self.quiescing -= 1
 
-    def drained_out(self) -> list[str]:
+    def servers_past_drain_timeout(self) -> list[str]:
         """Return the leaving servers whose transactions had their time."""
         limit = self.spec.drain_timeout_ms / 1000
         now = self.clock()
@@ -402,7 +406,7 @@
             if now - since > limit
         ]
 
-    def _follow_leaving(self, server: ServerSpec) -> None:
+    def _update_draining(self, server: ServerSpec) -> None:
         if server.state is not ServerState.LEAVING:
             self.leaving_since.pop(server.name, None)
             return
@@ -410,12 +414,14 @@
         self.pools[server.name].drain()
 
     def _ensure_connections(self, server: ServerSpec) -> None:
-        known = self.pools.get(server.name)
-        if known is not None and _same_address(known.endpoint, server):
-            known.draining = server.state is ServerState.LEAVING
+        existing_pool = self.pools.get(server.name)
+        if existing_pool is not None and _same_address(
+            existing_pool.endpoint, server
+        ):
+            existing_pool.draining = server.state is ServerState.LEAVING
             return
-        if known is not None:
-            known.drain()
+        if existing_pool is not None:
+            existing_pool.drain()
         endpoint = Endpoint(
             server.name,
             server.host,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
@@ -82,7 +82,7 @@
         )
         self.counters = GroupCounters()
         self.in_flight = 0
-        self.on_less_work: Callable[[], None] = _do_nothing
+        self.on_work_finished: Callable[[], None] = _do_nothing
         self.classes: Mapping[str, CallerClassSpec] = {}
         self.gate = AdmissionGate(GroupAdmission(limit=1), clock)
         runner = StatementRunner(self.state)
@@ -103,7 +103,7 @@
           servers: The group's declared servers.
         """
         self.state.start(servers)
-        self._follow_slots()
+        self._update_concurrency_limit()
 
     async def close(self) -> None:
         """Close every connection."""
@@ -117,7 +117,7 @@
           spec: The new declaration.
         """
         self.state.set_spec(spec)
-        self._follow_slots()
+        self._update_concurrency_limit()
 
     def set_servers(self, servers: Sequence[ServerSpec]) -> None:
         """Follow a change of the declared servers.
@@ -127,7 +127,7 @@
         """
         for name in self.state.set_servers(servers):
             self.transactions.close_on_server(name)
-        self._follow_slots()
+        self._update_concurrency_limit()
 
     def set_row(self, row: GroupRow, version: int) -> None:
         """Take the group's row.
@@ -137,7 +137,7 @@
           version: The change log's version that wrote it.
         """
         if self.state.set_row(row, version):
-            self._follow_slots()
+            self._update_concurrency_limit()
 
     def observe(
         self, report: ServerReport, sent_at: float, answered_at: float
@@ -163,7 +163,7 @@
             result = await self._dispatch(request, deadline)
         finally:
             self.in_flight -= 1
-            self.on_less_work()
+            self.on_work_finished()
         self._count(result)
         return result
 
@@ -174,12 +174,12 @@
           now: The time on the monotonic clock.
         """
         self.state.apply_budget()
-        self._follow_slots()
+        self._update_concurrency_limit()
         closed = self.transactions.expire(now)
-        for server in self.state.drained_out():
+        for server in self.state.servers_past_drain_timeout():
             closed += self.transactions.close_on_server(server)
         if closed:
-            self.on_less_work()
+            self.on_work_finished()
         return closed
 
     async def _dispatch(
@@ -219,12 +219,12 @@
             if not isinstance(report, ServerReport):
                 continue
             self.state.observe(report, sent_at, self.state.clock())
-            if self._bounds(report):
-                return ResultOk(position=_newest(report, request))
+            if self._is_on_current_branch(report):
+                return ResultOk(position=_later_position(report, request))
         detail = "the position of the last read is not known yet"
         return result_error(NotRun(NotRunReason.NO_SERVER, detail, 200))
 
-    def _bounds(self, report: ServerReport) -> bool:
+    def _is_on_current_branch(self, report: ServerReport) -> bool:
         branch = self.state.table.evidence.branch
         return report.term == branch.term and branch.contains(report.position)
 
@@ -232,7 +232,7 @@
         spec = self.classes.get(caller_class)
         return 1 if spec is None else spec.weight
 
-    def _follow_slots(self) -> None:
+    def _update_concurrency_limit(self) -> None:
         """Set the admission limit to this home's part of the slots."""
         state = self.state
         row = state.row
@@ -260,7 +260,9 @@
                 self.counters.unknown += 1
 
 
-def _newest(report: ServerReport, request: StatementRequest) -> Position:
+def _later_position(
+    report: ServerReport, request: StatementRequest
+) -> Position:
     if not request.token:
         return report.position
     token = Position.parse(request.token)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/keyed_locks.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/keyed_locks.py
@@ -16,7 +16,7 @@
         self.locks: dict[str, tuple[asyncio.Lock, int]] = {}
 
     @contextlib.asynccontextmanager
-    async def hold(self, key: str) -> AsyncIterator[None]:
+    async def acquire(self, key: str) -> AsyncIterator[None]:
         """Hold a key's lock.
 
         Args:
@@ -28,9 +28,9 @@
             async with lock:
                 yield
         finally:
-            self._leave(key)
+            self._release(key)
 
-    def _leave(self, key: str) -> None:
+    def _release(self, key: str) -> None:
         lock, users = self.locks[key]
         if users == 1:
             del self.locks[key]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/read_path.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/read_path.py
@@ -82,26 +82,26 @@
         max_age_ms = request.max_age_ms
         if max_age_ms is None and not request.token:
             max_age_ms = self.state.spec.default_max_age_ms
-        wanted = None
+        read_request = None
         if request.token or max_age_ms is not None:
-            wanted = self._wanted(request, max_age_ms, deadline)
-            waited = await self._wait_for_replica(request, wanted)
+            read_request = self._read_request(request, max_age_ms, deadline)
+            waited = await self._wait_for_replica(request, read_request)
             if isinstance(waited, Refuse):
                 return result_error(waited.outcome)
-            wanted = waited
-        ticket = await self.gate.enter(
+            read_request = waited
+        slot = await self.gate.enter(
             request.caller, request.caller_class, weight, deadline
         )
-        if isinstance(ticket, NotRun):
-            return result_error(ticket)
+        if isinstance(slot, NotRun):
+            return result_error(slot)
         try:
-            if wanted is None:
-                return await self._on_primary(request, deadline)
-            return await self._attempts(request, wanted, deadline)
+            if read_request is None:
+                return await self._run_on_primary(request, deadline)
+            return await self._run_with_retries(request, read_request, deadline)
         finally:
-            self.gate.leave(ticket)
+            self.gate.leave(slot)
 
-    def _wanted(
+    def _read_request(
         self,
         request: StatementRequest,
         max_age_ms: int | None,
@@ -113,11 +113,13 @@
             deadline=deadline,
             token_position=token,
             max_age_ms=max_age_ms,
-            constraint=self._hold(request),
+            constraint=self._read_constraint(request),
             replica_wait_seconds=self.state.spec.replica_wait_ms / 1000,
         )
 
-    def _hold(self, request: StatementRequest) -> ReadConstraint | None:
+    def _read_constraint(
+        self, request: StatementRequest
+    ) -> ReadConstraint | None:
         evidence = self.state.table.evidence
         return self._session_reads(request).constraint(request.group, evidence)
 
@@ -136,36 +138,38 @@
         return reads
 
     async def _wait_for_replica(
-        self, request: StatementRequest, wanted: ReadRequest
+        self, request: StatementRequest, read_request: ReadRequest
     ) -> ReadRequest | Refuse:
         """Wait once for a replica where that should pay.
 
         Returns:
           What the read asks for from now on, or its refusal.
         """
-        choice = self._choose(wanted)
+        choice = self._choose(read_request)
         if isinstance(choice, Refuse):
             return choice
         if not isinstance(choice, WaitForReplica):
-            return wanted
+            return read_request
         self.counters.replica_waits += 1
         if choice.probe:
-            await self._probe_both(choice.server)
+            await self._probe_with_primary(choice.server)
         else:
-            await self._wait_until_reached(choice, wanted)
+            await self._wait_until_reached(choice, read_request)
         return attrs.evolve(
-            wanted, may_wait=False, constraint=self._hold(request)
+            read_request,
+            may_wait=False,
+            constraint=self._read_constraint(request),
         )
 
-    async def _probe_both(self, server: str) -> None:
+    async def _probe_with_primary(self, server: str) -> None:
         names = {server, self.state.table.primary} & self.state.controls.keys()
         await asyncio.gather(*(self._probe(name) for name in names))
 
     async def _wait_until_reached(
-        self, choice: WaitForReplica, wanted: ReadRequest
+        self, choice: WaitForReplica, read_request: ReadRequest
     ) -> None:
         """Probe a replica until it holds what the read asks for."""
-        target = wanted.target()
+        target = read_request.target()
         evidence = self.state.table.evidence
         while (remaining := choice.until - self.state.clock()) > 0:
             if target is None or evidence.reached(
@@ -176,23 +180,26 @@
             await asyncio.sleep(min(remaining, PROBE_PAUSE_SECONDS))
 
     def _choose(
-        self, wanted: ReadRequest
+        self, read_request: ReadRequest
     ) -> RouteToReplica | RouteToPrimary | WaitForReplica | Refuse:
         return self.state.table.choose(
-            wanted, self.state.clock(), self.state.rng
+            read_request, self.state.clock(), self.state.rng
         )
 
-    async def _attempts(
-        self, request: StatementRequest, wanted: ReadRequest, deadline: float
+    async def _run_with_retries(
+        self,
+        request: StatementRequest,
+        read_request: ReadRequest,
+        deadline: float,
     ) -> StatementResult:
         result: StatementResult | None = None
         for _ in range(MAX_ATTEMPTS):
-            choice = self._choose(wanted)
+            choice = self._choose(read_request)
             if isinstance(choice, Refuse):
                 return result_error(choice.outcome)
             if isinstance(choice, RouteToReplica):
-                result = await self._on_replica(
-                    request, wanted, choice, deadline
+                result = await self._run_on_replica(
+                    request, read_request, choice, deadline
                 )
                 if result is not None:
                     return result
@@ -202,12 +209,12 @@
                 break
             if self.state.clock() >= deadline:
                 break
-        return await self._on_primary(request, deadline)
+        return await self._run_on_primary(request, deadline)
 
-    async def _on_replica(
+    async def _run_on_replica(
         self,
         request: StatementRequest,
-        wanted: ReadRequest,
+        read_request: ReadRequest,
         choice: RouteToReplica,
         deadline: float,
     ) -> StatementResult | None:
@@ -219,16 +226,18 @@
             return None
         if isinstance(answer, ErrorAnswer) and answer.code == READ_ONLY_CODE:
             return None
-        if not choice.fresh_at(answered_at, wanted.max_age_ms):
+        if not choice.fresh_at(answered_at, read_request.max_age_ms):
             self.counters.late_answers += 1
             return None
-        bound = wanted.target()
-        if not await self._stands(choice.server, branch, bound, answered_at):
+        bound = read_request.target()
+        if not await self._is_answer_valid(
+            choice.server, branch, bound, answered_at
+        ):
             return None
         self.counters.replica_reads += 1
         return result_from_answer(answer, choice.server, branch.term)
 
-    async def _stands(
+    async def _is_answer_valid(
         self,
         server: str,
         branch: object,
@@ -253,11 +262,11 @@
         if isinstance(report, ServerReport):
             self.state.observe(report, sent_at, self.state.clock())
 
-    async def _on_primary(
+    async def _run_on_primary(
         self, request: StatementRequest, deadline: float
     ) -> StatementResult:
         while True:
-            result = await self._once_on_primary(request, deadline)
+            result = await self._try_on_primary(request, deadline)
             if result is not None:
                 return result
             if not request.repeatable:
@@ -268,7 +277,7 @@
                     NotRun(NotRunReason.DEADLINE, "no primary answered in time")
                 )
 
-    async def _once_on_primary(
+    async def _try_on_primary(
         self, request: StatementRequest, deadline: float
     ) -> StatementResult | None:
         primary = await self.state.wait_for_primary(deadline)
@@ -278,7 +287,7 @@
             primary.server, request, deadline, primary.term
         )
         if isinstance(answer, NotStarted):
-            if not self.runner.still_open(primary.server, primary.term):
+            if not self.runner.is_current_primary(primary.server, primary.term):
                 return None
             return result_error(
                 NotRun(NotRunReason.NO_SERVER, answer.detail, 200)
@@ -289,7 +298,7 @@
             verdict = await self.acknowledger.read(
                 primary.server, primary.term, deadline
             )
-            if verdict is ReadVerdict.READ_AGAIN:
+            if verdict is ReadVerdict.RETRY:
                 return None
         self.counters.primary_reads += 1
         return result_from_answer(answer, primary.server, primary.term)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
@@ -15,7 +15,7 @@
     expired_before,
 )
 
-EXPIRY_SECONDS = 300.0
+EXPIRY_INTERVAL_SECONDS = 300.0
 STATEMENT_SECONDS = 10.0
 
 
@@ -31,7 +31,7 @@
     def __init__(self, state: GroupState, runner: StatementRunner) -> None:
         self.state = state
         self.runner = runner
-        self.due_at = state.clock() + EXPIRY_SECONDS
+        self.due_at = state.clock() + EXPIRY_INTERVAL_SECONDS
 
     def is_due(self, now: float) -> bool:
         """Return whether to look now, and plan the next time.
@@ -41,7 +41,7 @@
         """
         if now < self.due_at:
             return False
-        self.due_at = now + EXPIRY_SECONDS
+        self.due_at = now + EXPIRY_INTERVAL_SECONDS
         return True
 
     async def run(self) -> int:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
@@ -42,8 +42,8 @@
 
 DUPLICATE_KEY = 1062
 NO_SUCH_TABLE = 1146
-SETTLE_SECONDS = 2.0
-SETTLE_PAUSE_SECONDS = 0.1
+RESOLVE_SECONDS = 2.0
+RESOLVE_RETRY_SECONDS = 0.1
 COMMIT_DIGEST_TEXT = "COMMIT"
 
 
@@ -85,7 +85,7 @@
 
 
 @attrs.frozen
-class LookUp:
+class RecordLookup:
     """What the primary of a term says of a request.
 
     Attributes:
@@ -173,7 +173,7 @@
 
     async def look_up(
         self, request_id: str, deadline: float
-    ) -> LookUp | NotRun:
+    ) -> RecordLookup | NotRun:
         """Look for the record of a request on the open term.
 
         Args:
@@ -190,16 +190,16 @@
             verdict = await self.acknowledger.read(
                 primary.server, primary.term, deadline
             )
-            stands = verdict is ReadVerdict.STANDS
-            if stands and isinstance(answer, RowsAnswer | ErrorAnswer):
-                return LookUp(_record(answer), primary.term)
+            valid = verdict is ReadVerdict.VALID
+            if valid and isinstance(answer, RowsAnswer | ErrorAnswer):
+                return RecordLookup(_record(answer), primary.term)
             if self.state.clock() >= deadline:
                 return no_answer()
-            await asyncio.sleep(SETTLE_PAUSE_SECONDS)
+            await asyncio.sleep(RESOLVE_RETRY_SECONDS)
 
-    async def settle(
+    async def resolve(
         self, request_id: str, term: int, deadline: float
-    ) -> LookUp | None:
+    ) -> RecordLookup | None:
         """Find out whether a write with a lost answer stands.
 
         Without a record under a later term the write can't come any more.
@@ -213,14 +213,14 @@
           The record or the later term that has none; None if neither was
           found in time.
         """
-        until = min(deadline, self.state.clock() + SETTLE_SECONDS)
+        until = min(deadline, self.state.clock() + RESOLVE_SECONDS)
         while self.state.clock() < until:
             found = await self.look_up(request_id, until)
-            if isinstance(found, LookUp) and (
+            if isinstance(found, RecordLookup) and (
                 found.record is not None or found.term > term
             ):
                 return found
-            await asyncio.sleep(SETTLE_PAUSE_SECONDS)
+            await asyncio.sleep(RESOLVE_RETRY_SECONDS)
         return None
 
     async def _select(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/signal.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/signal.py
@@ -13,11 +13,11 @@
 
     def __init__(self) -> None:
         self.event = asyncio.Event()
-        self.waiting = 0
+        self.waiters = 0
 
     def notify(self) -> None:
         """Wake everybody who waits now."""
-        if not self.waiting:
+        if not self.waiters:
             return
         self.event.set()
         self.event = asyncio.Event()
@@ -29,12 +29,12 @@
           timeout_seconds: The longest that this may take.
         """
         event = self.event
-        self.waiting += 1
+        self.waiters += 1
         try:
             async with asyncio.timeout(timeout_seconds):
                 await event.wait()
         except TimeoutError:
             return False
         finally:
-            self.waiting -= 1
+            self.waiters -= 1
         return True
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/statement_runner.py
@@ -58,7 +58,7 @@
         link = await self.acquire(server, request.setup, deadline)
         if isinstance(link, NotStarted):
             return link
-        if term is not None and not self.still_open(server, term):
+        if term is not None and not self.is_current_primary(server, term):
             self.state.pools[server].release(link)
             return NotStarted("the primary was moved meanwhile")
         load = self.state.table.loads.get(server)
@@ -110,7 +110,7 @@
                 return f"{statement}: {answer}"
         return ""
 
-    def still_open(self, server: str, term: int) -> bool:
+    def is_current_primary(self, server: str, term: int) -> bool:
         """Return whether a server is still the primary that may get work.
 
         Getting a connection may take long, so what was true before it has to
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
@@ -97,16 +97,16 @@
           weight: The caller class's weight.
           deadline: When the caller gives up, on the monotonic clock.
         """
-        async with self.opening.hold(request.transaction_id):
+        async with self.opening.acquire(request.transaction_id):
             transaction = self.open.get(request.transaction_id)
             if transaction is None:
                 return await self._open_and_run(request, weight, deadline)
-        ticket = self.gate.enter_at_once(request.caller)
+        slot = self.gate.enter_over_limit(request.caller)
         try:
             async with transaction.lock:
                 return await self._serve(transaction, request, deadline)
         finally:
-            self.gate.leave(ticket)
+            self.gate.leave(slot)
 
     async def end_session(self, session_id: str) -> None:
         """Roll back whatever a session has open.
@@ -164,11 +164,11 @@
         closed = request.transaction_id in self.closed
         if closed or request.begun or request.kind is StatementKind.COMMIT:
             return lost_transaction("this proxy does not hold it")
-        ticket = await self.gate.enter(
+        slot = await self.gate.enter(
             request.caller, request.caller_class, weight, deadline
         )
-        if isinstance(ticket, NotRun):
-            return result_error(ticket)
+        if isinstance(slot, NotRun):
+            return result_error(slot)
         try:
             transaction = await self._begin(request, deadline)
             if isinstance(transaction, NotRun):
@@ -176,7 +176,7 @@
             async with transaction.lock:
                 return await self._serve(transaction, request, deadline)
         finally:
-            self.gate.leave(ticket)
+            self.gate.leave(slot)
 
     async def _begin(
         self, request: StatementRequest, deadline: float
@@ -192,7 +192,7 @@
                 return NotRun(
                     NotRunReason.NO_SERVER, link.detail, NO_SERVER_RETRY_MS
                 )
-            if self.runner.still_open(primary.server, primary.term):
+            if self.runner.is_current_primary(primary.server, primary.term):
                 break
             self.state.pools[primary.server].release(link)
         link.dirty = True
@@ -233,12 +233,14 @@
                 case StatementKind.ROLLBACK:
                     return await self._roll_back(transaction)
                 case _:
-                    return await self._statement(transaction, request, deadline)
+                    return await self._run_statement(
+                        transaction, request, deadline
+                    )
         except asyncio.CancelledError:
             self._close(transaction)
             raise
 
-    async def _statement(
+    async def _run_statement(
         self,
         transaction: OpenTransaction,
         request: StatementRequest,
@@ -256,12 +258,12 @@
             return lost_transaction(answer.detail)
         if isinstance(answer, ErrorAnswer):
             return await self._statement_failed(transaction, answer)
-        if not await self._rows_stand(transaction, answer, deadline):
+        if not await self._are_rows_valid(transaction, answer, deadline):
             self._close(transaction)
             return lost_transaction("the primary was replaced")
         primary = transaction.primary
         result = result_from_answer(answer, primary.server, primary.term)
-        return self._still_open(transaction, result)
+        return self._mark_in_transaction(transaction, result)
 
     async def _statement_failed(
         self, transaction: OpenTransaction, answer: ErrorAnswer
@@ -270,9 +272,9 @@
         if answer.code in ROLLED_BACK_CODES:
             await self._roll_back(transaction)
             return result
-        return self._still_open(transaction, result)
+        return self._mark_in_transaction(transaction, result)
 
-    async def _rows_stand(
+    async def _are_rows_valid(
         self,
         transaction: OpenTransaction,
         answer: LinkAnswer,
@@ -284,7 +286,7 @@
         verdict = await self.acknowledger.read(
             primary.server, primary.term, deadline
         )
-        return verdict is ReadVerdict.STANDS
+        return verdict is ReadVerdict.VALID
 
     async def _commit(
         self,
@@ -293,7 +295,9 @@
         deadline: float,
     ) -> StatementResult:
         if request.request_id:
-            recorded = await self._record(transaction, request, deadline)
+            recorded = await self._record_request_id(
+                transaction, request, deadline
+            )
             if recorded is not None:
                 return recorded
         answer = await transaction.link.run(
@@ -302,7 +306,9 @@
         outcome = await self._judge_commit(transaction, answer, deadline)
         self._finish(transaction)
         if isinstance(outcome, ResultError) and request.request_id:
-            return await self._settle(transaction, outcome, request, deadline)
+            return await self._resolve_unknown(
+                transaction, outcome, request, deadline
+            )
         return outcome
 
     async def _judge_commit(
@@ -340,13 +346,13 @@
         verdict = await self.acknowledger.read(
             primary.server, primary.term, deadline
         )
-        if verdict is ReadVerdict.STANDS:
+        if verdict is ReadVerdict.VALID:
             return Done()
         return Failed(
             ROLLED_BACK_CODE, ROLLED_BACK_STATE, "the primary was replaced"
         )
 
-    async def _record(
+    async def _record_request_id(
         self,
         transaction: OpenTransaction,
         request: StatementRequest,
@@ -367,20 +373,20 @@
             return ResultOk()
         return lost_transaction(f"its request id was not recorded: {answer}")
 
-    async def _settle(
+    async def _resolve_unknown(
         self,
         transaction: OpenTransaction,
-        doubt: ResultError,
+        unknown_result: ResultError,
         request: StatementRequest,
         deadline: float,
     ) -> StatementResult:
-        if doubt.outcome is not StatementOutcome.UNKNOWN:
-            return doubt
-        found = await self.records.settle(
+        if unknown_result.outcome is not StatementOutcome.UNKNOWN:
+            return unknown_result
+        found = await self.records.resolve(
             request.request_id, transaction.primary.term, deadline
         )
         if found is None:
-            return doubt
+            return unknown_result
         if found.record is None:
             return lost_transaction("the primary was replaced")
         return ResultOk()
@@ -409,7 +415,7 @@
             pool = self.state.pools[transaction.primary.server]
             pool.release(transaction.link)
 
-    def _still_open(
+    def _mark_in_transaction(
         self, transaction: OpenTransaction, result: StatementResult
     ) -> StatementResult:
         return attrs.evolve(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
@@ -88,17 +88,17 @@
         opened = await self.state.wait_for_primary(deadline)
         if isinstance(opened, NotRun):
             return result_error(opened)
-        ticket = await self.gate.enter(
+        slot = await self.gate.enter(
             request.caller, request.caller_class, weight, deadline
         )
-        if isinstance(ticket, NotRun):
-            return result_error(ticket)
+        if isinstance(slot, NotRun):
+            return result_error(slot)
         try:
-            return await self._attempts(request, deadline)
+            return await self._run_with_retries(request, deadline)
         finally:
-            self.gate.leave(ticket)
+            self.gate.leave(slot)
 
-    async def _attempts(
+    async def _run_with_retries(
         self, request: StatementRequest, deadline: float, attempt: int = 0
     ) -> StatementResult:
         """Run a write, again only where that can't make it run twice."""
@@ -114,10 +114,10 @@
             answer = await self.runner.run(
                 primary.server, request, deadline, primary.term
             )
-            if isinstance(answer, NotStarted) and self._moved(primary):
+            if isinstance(answer, NotStarted) and self._is_superseded(primary):
                 continue
-            again = request.repeatable and attempt < MAX_ATTEMPTS
-            if not _was_rolled_back(answer) or not again:
+            retry = request.repeatable and attempt < MAX_ATTEMPTS
+            if not _was_rolled_back(answer) or not retry:
                 return await self._judge(answer, primary, deadline)
             await self._wait_for_change(primary, deadline)
 
@@ -160,7 +160,7 @@
         verdict = await self.acknowledger.read(
             primary.server, primary.term, deadline
         )
-        if verdict is ReadVerdict.STANDS:
+        if verdict is ReadVerdict.VALID:
             return Done()
         return Unknown("the primary was replaced before it had answered")
 
@@ -176,60 +176,60 @@
         )
         if isinstance(link, NotStarted):
             return await self._judge(link, primary, deadline)
-        if self._moved(primary):
+        if self._is_superseded(primary):
             self.state.pools[primary.server].release(link)
-            return await self._attempts(request, deadline, attempt)
+            return await self._run_with_retries(request, deadline, attempt)
         implicit = _commits_itself(
             request.sql.decode("utf-8", "surrogateescape")
         )
         self.state.link_started(link, primary.term)
         try:
-            finish = await self.records.execute(
+            execution_result = await self.records.execute(
                 link, request, implicit, deadline
             )
         finally:
             self.state.link_finished(link)
             self.state.pools[primary.server].release(link)
-        if isinstance(finish, Executed):
+        if isinstance(execution_result, Executed):
             return await self._judge_executed(
-                finish, primary, request, deadline, attempt
+                execution_result, primary, request, deadline, attempt
             )
-        if isinstance(finish, Unknown):
-            return await self._settle(
-                finish, primary, request, deadline, attempt
+        if isinstance(execution_result, Unknown):
+            return await self._resolve_unknown(
+                execution_result, primary, request, deadline, attempt
             )
-        again = request.repeatable and attempt < MAX_ATTEMPTS
-        if again and self._runs_elsewhere(finish, primary):
-            result = await self._attempts(request, deadline, attempt)
-            was_sent = isinstance(finish, Failed)
+        retry = request.repeatable and attempt < MAX_ATTEMPTS
+        if retry and self._may_retry(execution_result, primary):
+            result = await self._run_with_retries(request, deadline, attempt)
+            was_sent = isinstance(execution_result, Failed)
             if was_sent and _is_refusal(result):
-                return result_error(finish)
+                return result_error(execution_result)
             return result
-        return result_error(finish)
+        return result_error(execution_result)
 
     async def _judge_executed(
         self,
-        finish: Executed,
+        execution_result: Executed,
         primary: OpenPrimary,
         request: StatementRequest,
         deadline: float,
         attempt: int,
     ) -> StatementResult:
-        position = finish.position
+        position = execution_result.position
         verdict = await self._verdict(position, primary, deadline)
         if isinstance(verdict, Unknown):
-            return await self._settle(
+            return await self._resolve_unknown(
                 verdict, primary, request, deadline, attempt
             )
         if not isinstance(verdict, Done):
             return result_error(verdict)
-        if finish.repeated:
+        if execution_result.repeated:
             self.counters.repeats += 1
-            position = await self._bound_of_repeat(primary)
+            position = await self._replay_position(primary)
         self.counters.writes += 1
-        return _ok(finish.result, position, primary.server)
+        return _ok(execution_result.result, position, primary.server)
 
-    async def _bound_of_repeat(self, primary: OpenPrimary) -> Position | None:
+    async def _replay_position(self, primary: OpenPrimary) -> Position | None:
         """Return a position at or above a write that an earlier run made."""
         evidence = self.state.table.evidence
         sent_at = self.state.clock()
@@ -240,10 +240,10 @@
         self.state.observe(report, sent_at, self.state.clock())  # type: ignore[arg-type]
         return Position(position.term, position.offset)
 
-    async def _settle(
+    async def _resolve_unknown(
         self,
-        doubt: Unknown,
-        sent_to: OpenPrimary,
+        unknown_result: Unknown,
+        original_primary: OpenPrimary,
         request: StatementRequest,
         deadline: float,
         attempt: int,
@@ -254,15 +254,15 @@
         unique key lets one of the two commit.
         """
         if request.repeatable and attempt < MAX_ATTEMPTS:
-            again = await self._attempts(request, deadline, attempt)
-            return result_error(doubt) if _is_refusal(again) else again
-        found = await self.records.settle(
-            request.request_id, sent_to.term, deadline
+            retry = await self._run_with_retries(request, deadline, attempt)
+            return result_error(unknown_result) if _is_refusal(retry) else retry
+        found = await self.records.resolve(
+            request.request_id, original_primary.term, deadline
         )
         if found is None:
-            return result_error(doubt)
+            return result_error(unknown_result)
         if found.record is not None and not found.record.is_finished:
-            return result_error(doubt)
+            return result_error(unknown_result)
         if found.record is None:
             detail = "the primary was replaced and did not keep the write"
             return result_error(
@@ -271,25 +271,25 @@
         primary = self.state.primary()
         position = None
         if primary is not None:
-            position = await self._bound_of_repeat(primary)
+            position = await self._replay_position(primary)
         self.counters.writes += 1
         return _ok(found.record.result, position, "")
 
-    def _moved(self, primary: OpenPrimary) -> bool:
+    def _is_superseded(self, primary: OpenPrimary) -> bool:
         """Return whether a primary may not get work any more."""
-        return not self.runner.still_open(primary.server, primary.term)
+        return not self.runner.is_current_primary(primary.server, primary.term)
 
-    def _runs_elsewhere(
-        self, finish: NotRun | Failed, primary: OpenPrimary
+    def _may_retry(
+        self, execution_result: NotRun | Failed, primary: OpenPrimary
     ) -> bool:
         """Return whether a write left no effect and may find a way now."""
-        if isinstance(finish, NotRun):
-            return finish.reason is NotRunReason.NO_PRIMARY
-        if finish.code == CONNECTION_LOST_CODE:
+        if isinstance(execution_result, NotRun):
+            return execution_result.reason is NotRunReason.NO_PRIMARY
+        if execution_result.code == CONNECTION_LOST_CODE:
             return True
         current = self.state.primary()
         later = current is not None and current.term > primary.term
-        return later and finish.code == READ_ONLY_CODE
+        return later and execution_result.code == READ_ONLY_CODE
 
 
 def _is_refusal(result: StatementResult) -> bool:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
@@ -268,7 +268,7 @@
         agent.context.quiesce = group.state.quiesce
         group.state.on_answer = agent.observe_answer
         group.state.on_silence = agent.observe_silence
-        group.on_less_work = self.changed.notify
+        group.on_work_finished = self.changed.notify
         home = Home(group, agent)
         self.homes[spec.name] = home
         self._spawn(agent.start())
--- a/packages/jackdawcrank-proxy/tests/execution/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/execution/conftest.py
@@ -283,7 +283,7 @@
         assert self.group.transactions.open == {}
         assert state.busy_links == {}
         assert self.group.gate.admission.running == {}
-        assert self.group.gate.waiting == {}
+        assert self.group.gate.waiters == {}
         assert self.group.in_flight == 0
         assert state.failover_waiters == 0
         for pool in state.pools.values():
