--- a/packages/jackdawcrank-proxy/tests/execution/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/execution/conftest.py
@@ -90,14 +90,14 @@
         """Return the sent statements of a step."""
         return [sql for _, sql in self.sent if step_of(sql) == step]
 
-    def plan(self, step: str, *fates: str) -> None:
+    def set_responses(self, step: str, *responses: str) -> None:
         """Say what becomes of the next statements of a step."""
-        self.script[step] = collections.deque(fates)
+        self.script[step] = collections.deque(responses)
 
-    def fate(self, step: str) -> str:
+    def response(self, step: str) -> str:
         """Return what becomes of a statement of a step."""
-        planned = self.script.get(step)
-        return planned.popleft() if planned else "ok"
+        queued = self.script.get(step)
+        return queued.popleft() if queued else "ok"
 
 
 class FakeLink(ServerLink):
@@ -144,29 +144,32 @@
 
     async def serve(self, sql: str) -> LinkAnswer:
         step = step_of(sql)
-        fate = self.backend.fate(step)
-        if fate == "lost_before_sent":
+        response = self.backend.response(step)
+        if response == "lost_before_sent":
             self.close()
             return LostAnswer(False, "lost before sent")
         self.backend.sent.append((self, sql))
         self.backend.hooks.get(step, lambda: None)()
         await asyncio.sleep(ANSWER_SECONDS)
-        if fate == "hang":
+        if response == "hang":
             await asyncio.sleep(math.inf)
-        if fate in ERRORS:
-            if fate == "1290":
+        if response in ERRORS:
+            if response == "1290":
                 self.backend.refused.append(sql)
                 self.roll_back()
-            return ErrorAnswer(ERRORS[fate], "HY000", fate)
-        if fate == "lost_midway":
+            return ErrorAnswer(ERRORS[response], "HY000", response)
+        if response == "lost_midway":
             self.commit()
-        if fate.startswith(("lost_without", "lost_midway")) or not self.usable:
+        if (
+            response.startswith(("lost_without", "lost_midway"))
+            or not self.usable
+        ):
             self.close()
-            return LostAnswer(True, fate)
+            return LostAnswer(True, response)
         answer = self.apply(step, sql)
-        if fate == "lost_with_effect":
+        if response == "lost_with_effect":
             self.close()
-            return LostAnswer(True, fate)
+            return LostAnswer(True, response)
         return answer
 
     def apply(self, step: str, sql: str) -> LinkAnswer:
@@ -238,7 +241,7 @@
 
 
 @attrs.define
-class World:
+class GroupHarness:
     """A home group over the fake, with its lease under control."""
 
     backend: FakeBackend
@@ -277,7 +280,7 @@
             kind.value.upper(), kind=kind, transaction_id="t1"
         )
 
-    def check_at_rest(self) -> None:
+    def assert_idle(self) -> None:
         """Assert that nothing is held and nothing is left on connections."""
         state = self.group.state
         assert self.group.transactions.open == {}
@@ -302,11 +305,11 @@
     return "done"
 
 
-Scenario = Callable[[World], Awaitable[Any]]
+Scenario = Callable[[GroupHarness], Awaitable[Any]]
 
 
 @pytest.fixture
-def play(monkeypatch: pytest.MonkeyPatch) -> Callable[..., Any]:
+def run_scenario(monkeypatch: pytest.MonkeyPatch) -> Callable[..., Any]:
     """Return a function that runs a scenario on virtual time."""
 
     async def run(scenario: Scenario, spec: GroupSpec) -> Any:
@@ -332,21 +335,23 @@
             lambda server, why: None,
         )
         group.start([ServerSpec(n, GROUP, "127.0.0.1", 1) for n in SERVERS])
-        world = World(backend, group, leases)
-        world.set_row(row_of(1, 0, GroupPhase.ACTIVE))
+        harness = GroupHarness(backend, group, leases)
+        harness.set_row(row_of(1, 0, GroupPhase.ACTIVE))
         await asyncio.sleep(0.1)
         try:
-            result = await scenario(world)
+            result = await scenario(harness)
             await asyncio.sleep(0.5)
-            world.check_at_rest()
+            harness.assert_idle()
             return result
         finally:
             await group.close()
 
-    def play_one(scenario: Scenario, spec: GroupSpec | None = None) -> Any:
+    def run_on_virtual_time(
+        scenario: Scenario, spec: GroupSpec | None = None
+    ) -> Any:
         return run_virtual(run(scenario, spec or GroupSpec(GROUP)))
 
-    return play_one
+    return run_on_virtual_time
 
 
 @pytest.fixture
--- a/packages/jackdawcrank-proxy/tests/execution/test_transactions.py
+++ b/packages/jackdawcrank-proxy/tests/execution/test_transactions.py
@@ -13,7 +13,7 @@
 
 SQL = "INSERT INTO t VALUES (1)"
 SECOND_SQL = "INSERT INTO t VALUES (2)"
-FATES = (
+RESPONSES = (
     "ok",
     "1290",
     "1213",
@@ -24,11 +24,11 @@
     "lost_with_effect",
 )
 TRANSACTIONS = ("a", "b", "c")
-steps_of_sessions = st.lists(
+session_steps = st.lists(
     st.tuples(
         st.sampled_from(TRANSACTIONS),
         st.sampled_from(["write", "write", "commit", "rollback", "cancel"]),
-        st.sampled_from(["ok", "ok", "ok", *FATES]),
+        st.sampled_from(["ok", "ok", "ok", *RESPONSES]),
         st.booleans(),
     ),
     min_size=4,
@@ -36,36 +36,36 @@
 )
 
 
-async def run_steps(world: Any, steps: list[Any]) -> None:
+async def run_steps(harness: Any, steps: list[Any]) -> None:
     """Run the statements of three sessions side by side."""
     queues = {name: [s for s in steps if s[0] == name] for name in TRANSACTIONS}
-    await asyncio.gather(*(session(world, *q) for q in queues.items()))
+    await asyncio.gather(*(session(harness, *q) for q in queues.items()))
     for name in TRANSACTIONS:
-        await world.execute(
+        await harness.execute(
             "", kind=StatementKind.END_SESSION, session_id=f"session-{name}"
         )
 
 
-async def session(world: Any, name: str, steps: list[Any]) -> None:
+async def session(harness: Any, name: str, steps: list[Any]) -> None:
     number = 0
-    for index, (_, act, fate, pause) in enumerate(steps):
+    for index, (_, action, response, pause) in enumerate(steps):
         if pause:
             await asyncio.sleep(0.003)
-        world.backend.plan("run", fate)
+        harness.backend.set_responses("run", response)
         kind = StatementKind.WRITE
-        if act in ("commit", "rollback"):
-            kind = StatementKind(act)
+        if action in ("commit", "rollback"):
+            kind = StatementKind(action)
         statement = asyncio.create_task(
-            world.execute(
+            harness.execute(
                 f"INSERT INTO t VALUES ('{name}{number}', {index})"
                 if kind is StatementKind.WRITE
-                else act.upper(),
+                else action.upper(),
                 kind=kind,
                 transaction_id=f"{name}{number}",
                 session_id=f"session-{name}",
             )
         )
-        if act == "cancel":
+        if action == "cancel":
             await asyncio.sleep(0.0015)
             statement.cancel()
         done = await asyncio.gather(statement, return_exceptions=True)
@@ -80,15 +80,15 @@
     database=None,
     suppress_health_check=[hypothesis.HealthCheck.function_scoped_fixture],
 )
-@hypothesis.given(steps=steps_of_sessions)
-def test_statements_of_two_transactions_never_mix(
-    play: Callable[..., Any], steps: list[Any]
+@hypothesis.given(steps=session_steps)
+def test_transactions_do_not_share_connections(
+    run_scenario: Callable[..., Any], steps: list[Any]
 ) -> None:
-    async def scenario(world: Any) -> None:
-        await run_steps(world, steps)
+    async def scenario(harness: Any) -> None:
+        await run_steps(harness, steps)
         owners: dict[Any, str] = {}
         links: dict[str, Any] = {}
-        for link, sql in world.backend.sent:
+        for link, sql in harness.backend.sent:
             if sql in ("BEGIN", "COMMIT", "ROLLBACK"):
                 owners.pop(link, None)
             elif sql.startswith("INSERT"):
@@ -96,49 +96,49 @@
                 assert owners.setdefault(link, transaction) == transaction
                 assert links.setdefault(transaction, link) is link
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("fate", FATES)
+@pytest.mark.parametrize("response", RESPONSES)
 @pytest.mark.parametrize("step", ["setup", "begin", "run", "insert", "commit"])
 @pytest.mark.parametrize("request_id", ["", "r1"])
 @pytest.mark.parametrize("lease", ["held", "lapsed", "closed"])
-def test_what_a_commit_tells_is_true(
-    play: Callable[..., Any],
+def test_commit_outcome_matches_committed_data(
+    run_scenario: Callable[..., Any],
     outcome: Any,
     step: str,
-    fate: str,
+    response: str,
     request_id: str,
     lease: str,
 ) -> None:
-    async def scenario(world: Any) -> None:
-        backend = world.backend
-        backend.plan(step, fate)
-        told = [
+    async def scenario(harness: Any) -> None:
+        backend = harness.backend
+        backend.set_responses(step, response)
+        outcomes = [
             outcome(
-                await world.execute(
+                await harness.execute(
                     SQL, transaction_id="t1", setup=("SET sql_mode = ''",)
                 )
             )
         ]
-        backend.hooks["commit"] = lambda: world.set_lease(lease)
-        if told == ["done"]:
-            result = await world.execute(
+        backend.hooks["commit"] = lambda: harness.set_lease(lease)
+        if outcomes == ["done"]:
+            result = await harness.execute(
                 "COMMIT",
                 kind=StatementKind.COMMIT,
                 transaction_id="t1",
                 request_id=request_id,
             )
-            told.append(outcome(result))
-        await world.end_transaction(StatementKind.ROLLBACK)
-        if told[-1] in ("not_run", "failed"):
+            outcomes.append(outcome(result))
+        await harness.end_transaction(StatementKind.ROLLBACK)
+        if outcomes[-1] in ("not_run", "failed"):
             assert backend.committed == []
-        if told == ["done", "done"]:
+        if outcomes == ["done", "done"]:
             assert backend.committed == [SQL]
-        if told == ["not_run"]:
+        if outcomes == ["not_run"]:
             assert backend.texts("run") == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -151,44 +151,44 @@
         "commit",
     ],
 )
-def test_a_cancelled_statement_gives_everything_back(
-    play: Callable[..., Any], step: str
+def test_cancelled_statement_releases_resources(
+    run_scenario: Callable[..., Any], step: str
 ) -> None:
-    async def scenario(world: Any) -> None:
-        world.backend.plan(step, "hang")
+    async def scenario(harness: Any) -> None:
+        harness.backend.set_responses(step, "hang")
 
-        async def both() -> None:
-            await world.execute(
+        async def write_and_commit() -> None:
+            await harness.execute(
                 SQL, transaction_id="t1", setup=("SET sql_mode = ''",)
             )
-            await world.execute(
+            await harness.execute(
                 "COMMIT",
                 kind=StatementKind.COMMIT,
                 transaction_id="t1",
                 request_id="r1",
             )
 
-        work = asyncio.create_task(both())
+        work = asyncio.create_task(write_and_commit())
         await asyncio.sleep(0.5)
         work.cancel()
         await asyncio.gather(work, return_exceptions=True)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 LEAVING = ServerState.LEAVING
 
 
-async def expire(world: Any) -> None:
+async def expire(harness: Any) -> None:
     await asyncio.sleep(1.5)
-    assert world.group.tick(asyncio.get_running_loop().time()) == ["t1"]
+    assert harness.group.tick(asyncio.get_running_loop().time()) == ["t1"]
 
 
-async def remove_server(world: Any) -> None:
-    world.group.set_servers(
+async def remove_and_restore_server(harness: Any) -> None:
+    harness.group.set_servers(
         [ServerSpec(name, "ledger", "127.0.0.1", 1) for name in ("s2", "s3")]
     )
-    world.group.set_servers(
+    harness.group.set_servers(
         [
             ServerSpec(name, "ledger", "127.0.0.1", 1, ServerState.SERVING)
             for name in ("s1", "s2", "s3")
@@ -196,8 +196,8 @@
     )
 
 
-async def outlast_leaving_server(world: Any) -> None:
-    world.group.set_servers(
+async def exceed_drain_timeout(harness: Any) -> None:
+    harness.group.set_servers(
         [
             ServerSpec("s1", "ledger", "127.0.0.1", 1, state=LEAVING),
             *(
@@ -208,45 +208,45 @@
     )
     loop = asyncio.get_running_loop()
     await asyncio.sleep(0.3)
-    assert world.group.tick(loop.time()) == []
+    assert harness.group.tick(loop.time()) == []
     await asyncio.sleep(0.3)
-    assert world.group.tick(loop.time()) == ["t1"]
+    assert harness.group.tick(loop.time()) == ["t1"]
 
 
 @pytest.mark.parametrize(
-    "close", [expire, remove_server, outlast_leaving_server]
+    "close", [expire, remove_and_restore_server, exceed_drain_timeout]
 )
-def test_a_closed_transaction_does_not_go_on_as_a_new_one(
-    play: Callable[..., Any], outcome: Any, close: Any
+def test_closed_transaction_is_not_reopened(
+    run_scenario: Callable[..., Any], outcome: Any, close: Any
 ) -> None:
     """Half of a transaction must not be committed."""
 
-    async def scenario(world: Any) -> None:
-        first = await world.execute(SQL, transaction_id="t1")
+    async def scenario(harness: Any) -> None:
+        first = await harness.execute(SQL, transaction_id="t1")
         assert first.in_transaction
-        await close(world)
-        second = await world.execute(SECOND_SQL, transaction_id="t1")
-        last = await world.end_transaction(StatementKind.COMMIT)
-        assert world.backend.committed == []
+        await close(harness)
+        second = await harness.execute(SECOND_SQL, transaction_id="t1")
+        last = await harness.end_transaction(StatementKind.COMMIT)
+        assert harness.backend.committed == []
         assert outcome(second) == "failed"
         assert outcome(last) == "failed"
 
     spec = GroupSpec(
         "ledger", transaction_timeout_ms=1000, drain_timeout_ms=500
     )
-    play(scenario, spec)
+    run_scenario(scenario, spec)
 
 
-def test_two_first_statements_at_once_share_one_connection(
-    play: Callable[..., Any],
+def test_concurrent_first_statements_open_one_transaction(
+    run_scenario: Callable[..., Any],
 ) -> None:
-    async def scenario(world: Any) -> None:
+    async def scenario(harness: Any) -> None:
         await asyncio.gather(
-            world.execute(SQL, transaction_id="t1"),
-            world.execute(SECOND_SQL, transaction_id="t1"),
+            harness.execute(SQL, transaction_id="t1"),
+            harness.execute(SECOND_SQL, transaction_id="t1"),
         )
-        await world.end_transaction(StatementKind.COMMIT)
-        assert world.backend.texts("begin") == ["BEGIN"]
-        assert sorted(world.backend.committed) == [SQL, SECOND_SQL]
+        await harness.end_transaction(StatementKind.COMMIT)
+        assert harness.backend.texts("begin") == ["BEGIN"]
+        assert sorted(harness.backend.committed) == [SQL, SECOND_SQL]
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/jackdawcrank-proxy/tests/execution/test_write_path.py
+++ b/packages/jackdawcrank-proxy/tests/execution/test_write_path.py
@@ -11,7 +11,7 @@
 SQL = "INSERT INTO t VALUES (1)"
 CALL = "CALL certify(1)"
 STEPS = ("setup", "begin", "insert", "run", "record", "commit")
-FATES = (
+RESPONSES = (
     "ok",
     "1290",
     "1213",
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class Seen:
+class Observation:
     """What was seen of a write.
 
     Attributes:
@@ -72,29 +72,33 @@
 ]
 
 
-async def play_case(
-    world: Any, outcome: Any, case: Case, step: str, fates: tuple[str, ...]
-) -> Seen:
+async def run_case(
+    harness: Any,
+    outcome: Any,
+    case: Case,
+    step: str,
+    responses: tuple[str, ...],
+) -> Observation:
     """Run a write and return what was seen of it."""
 
-    def disturb() -> None:
-        world.backend.hooks.clear()
-        world.set_lease(case.lease)
+    def apply_changes() -> None:
+        harness.backend.hooks.clear()
+        harness.set_lease(case.lease)
         loop = asyncio.get_running_loop()
         if case.change != "none":
-            loop.call_later(0.05, world.open_term, case.change == "kept")
+            loop.call_later(0.05, harness.open_term, case.change == "kept")
 
-    world.backend.hooks["run"] = disturb
-    world.backend.plan(step, *fates)
-    result = await world.execute(
+    harness.backend.hooks["run"] = apply_changes
+    harness.backend.set_responses(step, *responses)
+    result = await harness.execute(
         case.sql,
         request_id="r1" if case.recorded else "",
         repeatable=case.repeatable,
         setup=("SET sql_mode = ''",) if step == "setup" else (),
     )
-    backend = world.backend
+    backend = harness.backend
     sent = backend.texts("run").count(case.sql)
-    return Seen(
+    return Observation(
         outcome(result),
         sent,
         sent - backend.refused.count(case.sql),
@@ -102,45 +106,50 @@
     )
 
 
-def all_seen(
-    play: Callable[..., Any], outcome: Any, case: Case, times: tuple[int, ...]
-) -> Iterator[tuple[str, Seen]]:
+def observe_all(
+    run_scenario: Callable[..., Any],
+    outcome: Any,
+    case: Case,
+    times: tuple[int, ...],
+) -> Iterator[tuple[str, Observation]]:
     """Yield what was seen of a case at each fate of each step."""
-    for step, fate, count in itertools.product(STEPS, FATES, times):
-        fates = (fate,) * count
-        seen = play(
-            lambda w, s=step, f=fates: play_case(w, outcome, case, s, f)
+    for step, response, count in itertools.product(STEPS, RESPONSES, times):
+        responses = (response,) * count
+        observation = run_scenario(
+            lambda w, s=step, f=responses: run_case(w, outcome, case, s, f)
         )
-        yield f"{step} {count} times {fate}", seen
+        yield f"{step} {count} times {response}", observation
 
 
 @pytest.mark.parametrize("case", CASES, ids=str)
-def test_what_the_caller_is_told_is_true(
-    play: Callable[..., Any], outcome: Any, case: Case
+def test_outcome_matches_committed_data(
+    run_scenario: Callable[..., Any], outcome: Any, case: Case
 ) -> None:
-    for what, seen in all_seen(play, outcome, case, (1, 4)):
-        if seen.outcome == "not_run":
-            assert seen.committed == 0, what
-        if seen.outcome == "failed" and case.change != "not_kept":
-            assert seen.committed == 0, what
-        if seen.outcome == "done":
-            assert seen.committed >= 1, what
+    for label, observation in observe_all(run_scenario, outcome, case, (1, 4)):
+        if observation.outcome == "not_run":
+            assert observation.committed == 0, label
+        if observation.outcome == "failed" and case.change != "not_kept":
+            assert observation.committed == 0, label
+        if observation.outcome == "done":
+            assert observation.committed >= 1, label
         if case.recorded:
-            assert seen.committed <= 1, what
+            assert observation.committed <= 1, label
         if not case.repeatable:
-            assert seen.sent <= 1, what
+            assert observation.sent <= 1, label
 
 
 @pytest.mark.parametrize("case", CASES, ids=str)
-def test_not_run_means_that_nothing_was_sent(
-    play: Callable[..., Any], outcome: Any, case: Case
+def test_not_run_means_not_executed(
+    run_scenario: Callable[..., Any], outcome: Any, case: Case
 ) -> None:
-    for what, seen in all_seen(play, outcome, case, (4,)):
-        if seen.outcome == "not_run":
-            assert seen.may_have_run == 0, what
+    for label, observation in observe_all(run_scenario, outcome, case, (4,)):
+        if observation.outcome == "not_run":
+            assert observation.may_have_run == 0, label
 
 
-@pytest.mark.parametrize("fate", ["lost_with_effect", "lost_without_effect"])
+@pytest.mark.parametrize(
+    "response", ["lost_with_effect", "lost_without_effect"]
+)
 @pytest.mark.parametrize(
     ("sql", "recorded"),
     [
@@ -150,36 +159,44 @@
         (f"-- a\n{CALL}", True),
     ],
 )
-def test_a_procedure_that_may_have_committed_is_in_doubt(
-    play: Callable[..., Any], outcome: Any, sql: str, recorded: bool, fate: str
+def test_possibly_committed_procedure_has_unknown_outcome(
+    run_scenario: Callable[..., Any],
+    outcome: Any,
+    sql: str,
+    recorded: bool,
+    response: str,
 ) -> None:
     case = Case(recorded, repeatable=False, sql=sql)
-    seen = play(lambda w: play_case(w, outcome, case, "run", (fate,)))
-    assert (seen.sent, seen.outcome) == (1, "unknown")
+    observation = run_scenario(
+        lambda w: run_case(w, outcome, case, "run", (response,))
+    )
+    assert (observation.sent, observation.outcome) == (1, "unknown")
 
 
 @pytest.mark.parametrize("repeatable", [True, False])
 @pytest.mark.parametrize("sql", [CALL, "CREATE TABLE a (b INT)"])
-def test_a_record_without_a_result_proves_nothing(
-    play: Callable[..., Any], outcome: Any, sql: str, repeatable: bool
+def test_record_without_result_gives_unknown_outcome(
+    run_scenario: Callable[..., Any], outcome: Any, sql: str, repeatable: bool
 ) -> None:
     """The statement committed its record and was lost half done."""
     case = Case(True, repeatable, sql=sql)
-    seen = play(lambda w: play_case(w, outcome, case, "run", ("lost_midway",)))
-    assert (seen.committed, seen.outcome) == (0, "unknown")
+    observation = run_scenario(
+        lambda w: run_case(w, outcome, case, "run", ("lost_midway",))
+    )
+    assert (observation.committed, observation.outcome) == (0, "unknown")
 
 
 @pytest.mark.parametrize("recorded", [True, False])
 @pytest.mark.parametrize("step", [*STEPS, "rollback"])
-def test_a_cancelled_write_gives_everything_back(
-    play: Callable[..., Any], step: str, recorded: bool
+def test_cancelled_write_releases_resources(
+    run_scenario: Callable[..., Any], step: str, recorded: bool
 ) -> None:
-    async def scenario(world: Any) -> None:
-        world.backend.plan(step, "hang")
+    async def scenario(harness: Any) -> None:
+        harness.backend.set_responses(step, "hang")
         if step == "rollback":
-            world.backend.plan("run", "1213")
+            harness.backend.set_responses("run", "1213")
         write = asyncio.create_task(
-            world.execute(
+            harness.execute(
                 SQL,
                 request_id="r1" if recorded else "",
                 setup=("SET sql_mode = ''",),
@@ -189,32 +206,34 @@
         write.cancel()
         await asyncio.gather(write, return_exceptions=True)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_repeat_gets_the_first_result(
-    play: Callable[..., Any], outcome: Any
+def test_repeated_request_returns_first_result(
+    run_scenario: Callable[..., Any], outcome: Any
 ) -> None:
-    async def scenario(world: Any) -> None:
+    async def scenario(harness: Any) -> None:
         for _ in range(2):
-            result = await world.execute(SQL, request_id="r1", repeatable=False)
+            result = await harness.execute(
+                SQL, request_id="r1", repeatable=False
+            )
             assert outcome(result) == "done"
             assert result.affected_rows == 1
-        assert world.backend.committed == [SQL]
+        assert harness.backend.committed == [SQL]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("given_up", [True, False])
-def test_a_write_without_a_primary_is_not_sent(
-    play: Callable[..., Any], outcome: Any, given_up: bool
+def test_write_without_primary_is_not_sent(
+    run_scenario: Callable[..., Any], outcome: Any, given_up: bool
 ) -> None:
-    async def scenario(world: Any) -> None:
+    async def scenario(harness: Any) -> None:
         if given_up:
-            world.group.state.give_up_lease(1)
+            harness.group.state.give_up_lease(1)
         else:
-            world.close_term()
-        assert outcome(await world.execute(SQL)) == "not_run"
-        assert world.backend.sent == []
+            harness.close_term()
+        assert outcome(await harness.execute(SQL)) == "not_run"
+        assert harness.backend.sent == []
 
-    play(scenario)
+    run_scenario(scenario)
