--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a statement from the entry proxy to a backend server."""
+"""Statement execution on the backend servers of a home proxy."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
@@ -1,4 +1,4 @@
-"""Decides when an answer of the primary may be given to the caller."""
+"""Decides when a primary's answer may be returned to the caller."""
 
 import asyncio
 import enum
@@ -26,17 +26,17 @@
 
 
 class ReadVerdict(enum.Enum):
-    """What becomes of a primary's answer to a read."""
+    """Whether a primary's answer to a read may be returned."""
 
     VALID = enum.auto()
     RETRY = enum.auto()
 
 
 class Acknowledger:
-    """Acknowledges what a primary has answered.
+    """Checks that a primary's answers remain valid across terms.
 
     Attributes:
-      state: The group.
+      state: The state of the group.
     """
 
     def __init__(self, state: GroupState) -> None:
@@ -45,11 +45,18 @@
     async def write(
         self, position: Position, deadline: float
     ) -> Done | Failed | Unknown:
-        """Return whether a committed write stands.
+        """Return whether a committed write is durable.
+
+        A write whose term was closed is checked against the branch of the next
+        open term.
 
         Args:
-          position: The position of its commit.
-          deadline: When the caller gives up, on the monotonic clock.
+          position: The position of the commit.
+          deadline: The caller's deadline in seconds on the monotonic clock.
+
+        Returns:
+          Done if the write is kept, Failed if a change of primary lost it, and
+          Unknown if neither is certain before the deadline.
         """
         term = position.term
         replies: dict[str, int | None] = {}
@@ -66,7 +73,7 @@
             if isinstance(verdict, Done | Unknown):
                 return verdict
             if self.state.clock() >= deadline:
-                return Unknown("no confirmation came before the deadline")
+                return Unknown("no confirmation received before the deadline")
             if isinstance(verdict, NeedConfirmation):
                 replies |= await self._confirm(
                     verdict, position, term, deadline
@@ -82,12 +89,12 @@
     async def read(
         self, server: str, term: int, deadline: float
     ) -> ReadVerdict:
-        """Return whether a primary's answer to a read stands.
+        """Return whether a primary's answer to a read is valid.
 
         Args:
-          server: The primary that answered.
-          term: The term under which it was chosen.
-          deadline: When the caller gives up, on the monotonic clock.
+          server: The name of the primary that answered.
+          term: The term in which it was selected as primary.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         replies: dict[str, int | None] = {}
         while True:
@@ -112,7 +119,7 @@
         row = await self.state.active_row_above(wait.closed_term, deadline)
         if row is None:
             return Unknown(
-                f"term {wait.closed_term} closed; no later one is open"
+                f"term {wait.closed_term} is closed and no later term is open"
             )
         if isinstance(resolve_write(position, row.branch), Done):
             return row.term
@@ -135,7 +142,7 @@
             for name in need.servers
         }
         replies = await self._collect_replies(tasks, term, need.count)
-        # Those that are not needed any more must not hold the caller.
+        # Replies that are no longer needed must not delay the caller.
         return dict.fromkeys(need.servers) | replies
 
     async def _collect_replies(
@@ -144,7 +151,7 @@
         term: int,
         count: int,
     ) -> dict[str, int | None]:
-        """Return the replies up to the last that is needed."""
+        """Collect replies until enough servers have confirmed the term."""
         replies: dict[str, int | None] = {}
         pending = set(tasks)
         try:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/admission_gate.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/admission_gate.py
@@ -1,4 +1,4 @@
-"""Lets statements wait for a slot of their group."""
+"""Admission of statements to the concurrency slots of a group."""
 
 import asyncio
 import itertools
@@ -17,10 +17,15 @@
 
 
 class AdmissionGate:
-    """Carries a group's admission decisions to the waiting statements.
+    """Queues statements and applies a group's admission decisions to them.
 
     Attributes:
-      admission: The decisions.
+      admission: Decides which statements are admitted, queued or refused.
+      clock: Returns the monotonic time in seconds.
+      numbers: The source of request numbers.
+      waiters: The futures of queued statements by request number. A result
+        of None means that the statement is admitted.
+      expiry_scheduled: Whether the next expiry check is scheduled.
     """
 
     def __init__(
@@ -35,13 +40,16 @@
     async def enter(
         self, caller: str, caller_class: str, weight: int, deadline: float
     ) -> int | NotRun:
-        """Wait for a slot; return its number for `leave`, or a refusal.
+        """Wait for a slot.
 
         Args:
-          caller: The caller's name.
-          caller_class: The caller class's name.
-          weight: The caller class's weight.
-          deadline: When the caller gives up, on the monotonic clock.
+          caller: The name of the caller.
+          caller_class: The name of the caller class.
+          weight: The weight of the caller class.
+          deadline: The caller's deadline in seconds on the monotonic clock.
+
+        Returns:
+          The number of the slot, to be passed to `leave`, or the refusal.
         """
         request = AdmissionRequest(
             next(self.numbers), caller, deadline, caller_class, weight
@@ -54,10 +62,13 @@
         return await self._wait(request, decision)
 
     def enter_over_limit(self, caller: str) -> int:
-        """Take a slot beyond the limit, for a transaction that goes on.
+        """Take a slot regardless of the limit, for an open transaction.
 
         Args:
-          caller: The caller's name.
+          caller: The name of the caller.
+
+        Returns:
+          The number of the slot, to be passed to `leave`.
         """
         now = self.clock()
         request = AdmissionRequest(next(self.numbers), caller, now)
@@ -65,18 +76,18 @@
         return request.number
 
     def leave(self, number: int) -> None:
-        """Free a slot.
+        """Release a slot.
 
         Args:
-          number: What `enter` returned.
+          number: The number that `enter` or `enter_over_limit` returned.
         """
         self._deliver(self.admission.finish(number, self.clock()))
 
     def set_limit(self, limit: int) -> None:
-        """Follow a change of the number of slots.
+        """Change the number of slots.
 
         Args:
-          limit: Statements that may run at once.
+          limit: The number of statements that may run concurrently.
         """
         if limit != self.admission.limit:
             self._deliver(self.admission.set_limit(limit, self.clock()))
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/counters.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/counters.py
@@ -1,22 +1,22 @@
-"""Counts of one group's statements on one home proxy."""
+"""Statement counters of a group on a home proxy."""
 
 import attrs
 
 
 @attrs.define
 class GroupCounters:
-    """How a group's statements were served.
+    """Counts a group's statements by how they were served.
 
     Attributes:
       replica_reads: Reads that a replica served.
       primary_reads: Reads that the primary served.
       replica_waits: Reads that waited for a replica.
-      late_answers: Replica answers that were dropped as too old.
+      late_answers: Replica answers discarded because they were too old.
       writes: Writes that were acknowledged.
-      refused: Statements refused as not run.
+      refused: Statements refused without being run.
       failed: Statements that ran and were rolled back.
       unknown: Statements with an unknown outcome.
-      repeats: Writes answered from the request table.
+      repeats: Writes answered from their request record.
     """
 
     replica_reads: int = 0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/keyed_locks.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/keyed_locks.py
@@ -1,4 +1,4 @@
-"""Locks by name, kept only while they are used."""
+"""Locks by key, which exist only while they are in use."""
 
 import asyncio
 import contextlib
@@ -6,10 +6,11 @@
 
 
 class KeyedLocks:
-    """One lock for each key.
+    """A set of locks, one for each key.
 
     Attributes:
-      locks: The locks in use, with the number of their users.
+      locks: The locks in use by key, each with the number of tasks that hold
+        it or wait for it.
     """
 
     def __init__(self) -> None:
@@ -17,10 +18,10 @@
 
     @contextlib.asynccontextmanager
     async def acquire(self, key: str) -> AsyncIterator[None]:
-        """Hold a key's lock.
+        """Hold the lock of a key for the duration of the context.
 
         Args:
-          key: The key.
+          key: The key to lock.
         """
         lock, users = self.locks.get(key, (asyncio.Lock(), 0))
         self.locks[key] = (lock, users + 1)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/open_primary.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/open_primary.py
@@ -5,11 +5,11 @@
 
 @attrs.frozen
 class OpenPrimary:
-    """A primary that may get statements.
+    """A primary that accepts statements.
 
     Attributes:
-      server: The server's name.
-      term: Its term.
+      server: The name of the server.
+      term: The term in which it is primary.
     """
 
     server: str
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/open_transaction.py
@@ -10,16 +10,16 @@
 
 @attrs.define(eq=False)
 class OpenTransaction:
-    """A transaction on a backend connection of its own.
+    """An open transaction and its dedicated backend connection.
 
     Attributes:
-      transaction_id: The session's id of it.
-      session_id: The session.
-      link: The connection.
-      primary: The server and term that it runs on.
-      opened_at: When it was opened, on the monotonic clock.
-      wrote: Whether any of its statements may have written.
-      lock: Held while a statement runs.
+      transaction_id: The id that the session assigned to the transaction.
+      session_id: The id of the session.
+      link: The dedicated connection.
+      primary: The server and the term that the transaction runs on.
+      opened_at: The opening time in seconds on the monotonic clock.
+      wrote: Whether any of its statements may have written data.
+      lock: Held while a statement runs, so that statements are serialized.
     """
 
     transaction_id: str
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
@@ -1,4 +1,4 @@
-"""Deletes request records that have expired."""
+"""Deletion of expired request records."""
 
 import time
 
@@ -20,12 +20,12 @@
 
 
 class RecordExpiry:
-    """Deletes a group's expired request records on its primary.
+    """Periodically deletes a group's expired request records.
 
     Attributes:
-      state: The group.
-      runner: Takes connections.
-      due_at: When to look next, on the monotonic clock.
+      state: The state of the group.
+      runner: Acquires connections to the primary.
+      due_at: The time of the next run in seconds on the monotonic clock.
     """
 
     def __init__(self, state: GroupState, runner: StatementRunner) -> None:
@@ -34,10 +34,10 @@
         self.due_at = state.clock() + EXPIRY_INTERVAL_SECONDS
 
     def is_due(self, now: float) -> bool:
-        """Return whether to look now, and plan the next time.
+        """Return whether a run is due, and if so schedule the next one.
 
         Args:
-          now: The time on the monotonic clock.
+          now: The time in seconds on the monotonic clock.
         """
         if now < self.due_at:
             return False
@@ -45,7 +45,7 @@
         return True
 
     async def run(self) -> int:
-        """Delete one slice of expired records; return how many it held."""
+        """Delete one batch of expired records; return the number deleted."""
         primary = self.state.primary()
         if primary is None:
             return 0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
@@ -1,4 +1,4 @@
-"""Runs writes that carry a request id, and looks their records up."""
+"""Execution of writes with a request id and lookup of their records."""
 
 import asyncio
 import time
@@ -48,10 +48,13 @@
 
 
 def render(statement: Statement) -> str:
-    """Return a statement with its parameters in place.
+    """Return the SQL of a statement with its parameters substituted.
+
+    Strings are not escaped.
 
     Args:
-      statement: The statement; its texts hold no quotes or backslashes.
+      statement: The statement. Its string parameters must not contain quotes
+        or backslashes.
     """
     if not statement.parameters:
         return statement.sql
@@ -63,10 +66,10 @@
 
 
 def reply_from(answer: LinkAnswer) -> StatementReply:
-    """Return what a connection's answer means to an execution.
+    """Convert a backend answer to a reply for a request execution.
 
     Args:
-      answer: The answer.
+      answer: The answer to convert.
     """
     match answer:
         case OkAnswer():
@@ -86,11 +89,11 @@
 
 @attrs.frozen
 class RecordLookup:
-    """What the primary of a term says of a request.
+    """The result of a record lookup on the primary of a term.
 
     Attributes:
-      record: The request's record; None if the branch has none.
-      term: The term under which it was looked up.
+      record: The request's record, or None if the branch has none.
+      term: The term in which the record was looked up.
     """
 
     record: RequestRecord | None
@@ -98,12 +101,12 @@
 
 
 class RequestRecords:
-    """A group's request records on the primary.
+    """Accesses a group's request records on the primary.
 
     Attributes:
-      state: The group.
-      runner: Takes connections.
-      acknowledger: Judges the primary's answers.
+      state: The state of the group.
+      runner: Acquires connections.
+      acknowledger: Validates the primary's answers.
     """
 
     def __init__(
@@ -123,13 +126,13 @@
         implicit_commit: bool,
         deadline: float,
     ) -> Executed | NotRun | Failed | Unknown:
-        """Run a write together with its record on one connection.
+        """Run a write and store its request record on the same connection.
 
         Args:
           link: A connection to the primary.
-          request: The write.
-          implicit_commit: Whether the statement commits by itself.
-          deadline: When the caller gives up, on the monotonic clock.
+          request: The write to run.
+          implicit_commit: Whether the statement commits implicitly.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         sql = request.sql.decode("utf-8", "surrogateescape")
         execution = RequestExecution(
@@ -153,12 +156,12 @@
     async def insert_for_commit(
         self, link: ServerLink, request_id: str, deadline: float
     ) -> LinkAnswer:
-        """Record a request id in an open transaction.
+        """Insert the request record of a COMMIT in its open transaction.
 
         Args:
-          link: The transaction's connection.
+          link: The connection of the transaction.
           request_id: The request id of the COMMIT.
-          deadline: When the caller gives up, on the monotonic clock.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         digest = digest_statement(COMMIT_DIGEST_TEXT)
         parameters = (request_id, digest, int(time.time()))
@@ -174,11 +177,11 @@
     async def look_up(
         self, request_id: str, deadline: float
     ) -> RecordLookup | NotRun:
-        """Look for the record of a request on the open term.
+        """Look up the record of a request on the primary of the open term.
 
         Args:
           request_id: The request id.
-          deadline: When the caller gives up, on the monotonic clock.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         if not is_request_id(request_id):
             return NotRun(NotRunReason.BAD_OPTION, "malformed request id")
@@ -200,17 +203,18 @@
     async def resolve(
         self, request_id: str, term: int, deadline: float
     ) -> RecordLookup | None:
-        """Find out whether a write with a lost answer stands.
+        """Determine whether a write was kept after its answer was lost.
 
-        Without a record under a later term the write can't come any more.
+        If a later term has no record of the write, the write can no longer be
+        committed.
 
         Args:
           request_id: The request id.
-          term: The term under which the write was sent.
-          deadline: When the caller gives up, on the monotonic clock.
+          term: The term in which the write was sent.
+          deadline: The caller's deadline in seconds on the monotonic clock.
 
         Returns:
-          The record or the later term that has none; None if neither was
+          The record, or the later term that has none; None if neither was
           found in time.
         """
         until = min(deadline, self.state.clock() + RESOLVE_SECONDS)
@@ -248,7 +252,7 @@
 
 
 def no_answer() -> NotRun:
-    """Return the refusal of a look-up that found no primary in time."""
+    """Return the refusal for a lookup that found no primary in time."""
     return no_primary("no primary answered in time")
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/signal.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/signal.py
@@ -1,14 +1,14 @@
-"""Wakes everybody who waits for a change."""
+"""Notification of all tasks that wait for a change."""
 
 import asyncio
 
 
 class Signal:
-    """A change that can be awaited again and again.
+    """A notification that can be awaited repeatedly.
 
     Attributes:
-      event: The next change.
-      waiting: How many wait for it.
+      event: Set at the next notification, then replaced.
+      waiters: The number of tasks that wait for it.
     """
 
     def __init__(self) -> None:
@@ -16,17 +16,20 @@
         self.waiters = 0
 
     def notify(self) -> None:
-        """Wake everybody who waits now."""
+        """Wake all tasks that are waiting."""
         if not self.waiters:
             return
         self.event.set()
         self.event = asyncio.Event()
 
     async def wait(self, timeout_seconds: float) -> bool:
-        """Wait for the next change; return whether it came in time.
+        """Wait for the next notification.
 
         Args:
-          timeout_seconds: The longest that this may take.
+          timeout_seconds: The maximum time to wait in seconds.
+
+        Returns:
+          Whether the notification came before the timeout.
         """
         event = self.event
         self.waiters += 1
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/statement_runner.py
@@ -1,4 +1,4 @@
-"""Runs one statement outside a transaction on one server."""
+"""Execution of single statements on a backend server."""
 
 import attrs
 
@@ -20,20 +20,20 @@
 
 @attrs.frozen
 class NotStarted:
-    """No byte of the statement was sent.
+    """The statement was not run: no byte of it was sent.
 
     Attributes:
-      detail: A sentence for people.
+      detail: A human-readable reason.
     """
 
     detail: str
 
 
 class StatementRunner:
-    """Takes a connection, prepares it, runs a statement, gives it back.
+    """Runs statements on pooled connections.
 
     Attributes:
-      state: The group.
+      state: The state of the group.
     """
 
     def __init__(self, state: GroupState) -> None:
@@ -49,18 +49,21 @@
         """Run a request's statement on a server.
 
         Args:
-          server: The server's name.
+          server: The name of the server.
           request: The statement with its options.
-          deadline: When the caller gives up, on the monotonic clock.
-          term: The term of the server if it is chosen as primary; the
-            statement is abandoned once a later term is open.
+          deadline: The caller's deadline in seconds on the monotonic clock.
+          term: The term in which the server was selected as primary, or None
+            for a read on a replica. The connection is closed if a later term
+            opens while the statement runs.
         """
         link = await self.acquire(server, request.setup, deadline)
         if isinstance(link, NotStarted):
             return link
         if term is not None and not self.is_current_primary(server, term):
             self.state.pools[server].release(link)
-            return NotStarted("the primary was moved meanwhile")
+            return NotStarted(
+                "the primary changed before the statement was sent"
+            )
         load = self.state.table.loads.get(server)
         started = self.state.clock()
         answer: LinkAnswer = LostAnswer(True, "cancelled")
@@ -80,12 +83,12 @@
     async def acquire(
         self, server: str, setup: tuple[str, ...], deadline: float
     ) -> ServerLink | NotStarted:
-        """Return a prepared connection to a server.
+        """Acquire a connection and set its session variables.
 
         Args:
-          server: The server's name.
-          setup: Statements that set session variables.
-          deadline: When the caller gives up, on the monotonic clock.
+          server: The name of the server.
+          setup: The statements that set session variables.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         pool = self.state.pools[server]
         timeout = min(ACQUIRE_SECONDS, self.remaining(deadline))
@@ -102,7 +105,7 @@
         return NotStarted(refusal) if refusal else link
 
     async def _set_up(self, link: ServerLink, setup: tuple[str, ...]) -> str:
-        """Set session variables; return why that failed, or nothing."""
+        """Set session variables; return the error, or an empty string."""
         for statement in setup:
             link.dirty = True
             answer = await link.run(statement, SETUP_TIMEOUT_SECONDS)
@@ -111,22 +114,22 @@
         return ""
 
     def is_current_primary(self, server: str, term: int) -> bool:
-        """Return whether a server is still the primary that may get work.
+        """Return whether a server is still the primary of an open term.
 
-        Getting a connection may take long, so what was true before it has to
-        be asked again before anything is sent.
+        Acquiring a connection may take long, so the primary must be checked
+        again before anything is sent.
 
         Args:
-          server: The server's name.
-          term: The term under which it was chosen.
+          server: The name of the server.
+          term: The term in which it was selected as primary.
         """
         return self.state.primary() == OpenPrimary(server, term)
 
     def remaining(self, deadline: float) -> float:
-        """Return the seconds that a statement may still take.
+        """Return the time that a statement has left, in seconds.
 
         Args:
-          deadline: When the caller gives up, on the monotonic clock.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         limit = self.state.spec.statement_timeout_ms / 1000
         return max(0.001, min(limit, deadline - self.state.clock()))
@@ -138,7 +141,7 @@
         answer: LinkAnswer,
         started: float,
     ) -> None:
-        """Take an answer, or its loss, as evidence on the server."""
+        """Update load and evidence of a server from an answer or its loss."""
         now = self.state.clock()
         lost = isinstance(answer, LostAnswer)
         load.finish(now - started, lost, now)
