--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
@@ -1,4 +1,4 @@
-"""What a home proxy knows and holds of one database group."""
+"""State and connections of a database group on a home proxy."""
 
 import asyncio
 import math
@@ -29,7 +29,7 @@
 FAILOVER_WAIT_SECONDS = 3.0
 MAX_FAILOVER_WAITERS = 256
 NO_PRIMARY_RETRY_MS = 500
-# Answers of a replaced primary that are under way may still come.
+# Grace period for answers of a replaced primary that are still in transit.
 OLD_TERM_GRACE_SECONDS = 0.1
 QUIESCE_SECONDS = 0.05
 CONTROL_CONNECTIONS = 2
@@ -41,33 +41,36 @@
 
 
 def _ignore(*arguments: object) -> None:
-    """Take no notice."""
+    """Do nothing."""
 
 
 class GroupState:
-    """One group's servers, term, evidence and connections.
+    """The servers, term, evidence and connections of a group.
 
     Attributes:
-      vm: This VM's name.
-      spec: What operators declare of the group.
+      vm: The name of this VM.
+      spec: The group as declared by the operators.
       leases: The term leases of this VM.
-      clock: The monotonic clock.
-      rng: The source of randomness.
+      clock: Returns the monotonic time in seconds.
+      rng: The random number generator.
       servers: The declared servers by name.
-      row: The group's newest row.
-      table: Evidence and load, for routing.
-      pools: The connections to each server.
-      controls: The control connections to each server.
-      leaving_since: Since when each leaving server gets no new work.
-      term_changed: Notified when the row or a lease changes.
-      evidence_changed: Notified when a probe was answered.
-      on_answer: Told of each answer: server, when asked, when answered.
-      on_silence: Told of a server that gave no usable answer.
-      quiescing: How many promises wait for what is under way.
-      held_term: The term that the lease was last held for.
-      held_until: Until when it was held at that time.
-      busy_links: Connections to primaries that run a statement, with the
-        term under which it was sent.
+      row: The newest known row of the group.
+      table: The evidence and load of the servers, for routing.
+      pools: The connection pools by server.
+      controls: The control connections by server.
+      connection_budget: The shares of the writers in the connection limit.
+      leaving_since: The time since which each leaving server gets no new
+        work, in seconds on the monotonic clock.
+      term_changed: Notified when the row changes or a lease is given up.
+      evidence_changed: Notified when a probe is answered.
+      on_answer: Called for each answer with the server, the time of the
+        request and the time of the answer.
+      on_silence: Called with a server that gave no usable answer.
+      quiescing: The number of running `quiesce` calls.
+      held_term: The term for which the lease was last held.
+      held_until: The end of that lease in seconds on the monotonic clock.
+      busy_links: Connections to primaries with a statement or transaction in
+        progress, with the term in which it was started.
     """
 
     def __init__(
@@ -96,7 +99,7 @@
         self.table = RoutingTable()
         self.pools: dict[str, ServerPool] = {}
         self.controls: dict[str, MysqlControl] = {}
-        # Only a predecessor of the same name can have left connections.
+        # Only a predecessor of the same name can have left connections open.
         started_at = clock() if was_writer else -math.inf
         self.connection_budget = ConnectionBudget(self._budget(), started_at)
         self.term_changed = Signal()
@@ -113,17 +116,17 @@
 
     @property
     def name(self) -> str:
-        """Return the group's name."""
+        """The name of the group."""
         return self.spec.name
 
     @property
     def quorum(self) -> Quorum:
-        """Return the quorum of the group's servers."""
+        """The quorum of the group's servers."""
         return Quorum(len(self.servers))
 
     @property
     def serving(self) -> list[ServerSpec]:
-        """Return the servers that may get work."""
+        """The servers that accept work."""
         return [
             server
             for server in self.servers.values()
@@ -146,7 +149,7 @@
             await control.close()
 
     def set_spec(self, spec: GroupSpec) -> None:
-        """Follow a change of the declared group.
+        """Apply a changed group declaration.
 
         Args:
           spec: The new declaration.
@@ -155,10 +158,13 @@
         self.connection_budget.limit = self._budget()
 
     def set_servers(self, servers: Sequence[ServerSpec]) -> list[str]:
-        """Follow a change of the declared servers; return those that left.
+        """Apply changed server declarations.
 
         Args:
           servers: The new declarations.
+
+        Returns:
+          The names of the servers that are no longer declared.
         """
         declared = {server.name: server for server in servers}
         gone = [name for name in self.servers if name not in declared]
@@ -176,11 +182,11 @@
         return gone
 
     def set_row(self, row: GroupRow, version: int) -> bool:
-        """Take the group's row; return whether it was newer.
+        """Apply the group's row; return whether it was newer.
 
         Args:
           row: The row.
-          version: The change log's version that wrote it.
+          version: The change log version that wrote the row.
         """
         if version <= self.row_version:
             return False
@@ -197,7 +203,7 @@
         return True
 
     def hold_term(self) -> None:
-        """Extend the evidence by a lease that was renewed."""
+        """Extend the validity of the evidence after a lease renewal."""
         if self.row is None:
             return
         state = self.leases.state(self.name, self.row.term, self.clock())
@@ -208,10 +214,10 @@
             self.held_until = until
 
     def give_up_lease(self, term: int) -> None:
-        """Promise never again to act for a term or an earlier one.
+        """Permanently give up the leases for a term and all earlier terms.
 
         Args:
-          term: The term.
+          term: The latest term to give up.
         """
         self.leases.give_up(self.name, term)
         evidence = self.table.evidence
@@ -221,12 +227,14 @@
     def observe(
         self, report: ServerReport, sent_at: float, answered_at: float
     ) -> None:
-        """Take in the answer to a probe.
+        """Process the answer to a probe.
 
         Args:
-          report: What the server answered.
-          sent_at: When the probe was sent.
-          answered_at: When the answer came.
+          report: The state that the server reported.
+          sent_at: The time the probe was sent, in seconds on the monotonic
+            clock.
+          answered_at: The time the answer was received, in seconds on the
+            monotonic clock.
         """
         self.table.evidence.observe(report, sent_at, answered_at)
         load = self.table.loads.get(report.server)
@@ -236,7 +244,7 @@
         self.evidence_changed.notify()
 
     def apply_budget(self) -> None:
-        """Give each server's pool its share of the group's connections."""
+        """Set the limit of each server's pool to its share of connections."""
         count = max(1, len(self.servers))
         share = self.connection_budget.server_share(
             self.vm, count, self.clock()
@@ -252,21 +260,22 @@
         return sum(latencies) / len(latencies) if latencies else 0.0
 
     def connections_share(self) -> int:
-        """Return how many connections this VM may hold to the group."""
+        """Return the number of connections that this VM may open."""
         return sum(pool.limit for pool in self.pools.values())
 
     def has_budget(self) -> bool:
-        """Return whether this VM may hold connections to the group."""
+        """Return whether this VM may open connections to the group."""
         return self.connection_budget.share(self.vm, self.clock()) > 0
 
     def lease_state(self, term: int) -> LeaseState:
-        """Return whether this proxy may act for a term at this moment.
+        """Return the state of this proxy's lease for a term.
 
-        A proxy that is merely no writer any more holds no lease, but may
-        still prove the term by confirmations.
+        A proxy that is no longer a writer holds no lease. Unless it gave the
+        lease up, the state is LAPSED while the term is open, because
+        confirmations of the servers can still prove the term.
 
         Args:
-          term: The term.
+          term: The term to check.
         """
         state = self.leases.state(self.name, term, self.clock())
         if state is not LeaseState.CLOSED or self.row is None:
@@ -278,14 +287,14 @@
         return state
 
     def answer_state(self, term: int) -> LeaseState:
-        """Return whether an answer of a term's primary may be given now.
+        """Return the lease state that applies to answers of a term's primary.
 
-        While a lease is being given up nothing new may start, but no later
-        term opens before the promise is sent or the lease has run out, so
-        what is under way may still be answered.
+        While a lease is being given up, no new statement may start. Running
+        statements may still be answered, because no later term opens before
+        the lease is reported as given up or has expired.
 
         Args:
-          term: The term.
+          term: The term to check.
         """
         is_last = self.quiescing > 0 and self.held_term == term
         if is_last and self.clock() < self.held_until:
@@ -293,7 +302,7 @@
         return self.lease_state(term)
 
     def primary(self) -> OpenPrimary | None:
-        """Return the primary, if it may get statements now."""
+        """Return the primary if it accepts statements, otherwise None."""
         row = self.row
         if row is None or row.phase is not GroupPhase.ACTIVE:
             return None
@@ -304,16 +313,18 @@
         return OpenPrimary(row.primary, row.term)
 
     async def wait_for_primary(self, deadline: float) -> OpenPrimary | NotRun:
-        """Return the primary, waiting a while for a promotion to finish.
+        """Return the primary; wait for a promotion to finish if necessary.
+
+        Waits until the deadline, but no longer than FAILOVER_WAIT_SECONDS.
 
         Args:
-          deadline: When the caller gives up, on the monotonic clock.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         primary = self.primary()
         if primary is not None:
             return primary
         if self.failover_waiters >= MAX_FAILOVER_WAITERS:
-            return no_primary("too many statements wait for a primary")
+            return no_primary("too many statements are waiting for a primary")
         self.failover_waiters += 1
         try:
             return await self._await_primary(deadline)
@@ -323,11 +334,14 @@
     async def active_row_above(
         self, term: int, deadline: float
     ) -> GroupRow | None:
-        """Return the row of an open term above one, or None at the deadline.
+        """Wait for an open term later than a closed one.
 
         Args:
           term: The closed term.
-          deadline: When to give up, on the monotonic clock.
+          deadline: The end of the wait in seconds on the monotonic clock.
+
+        Returns:
+          The row of the open term, or None at the deadline.
         """
         while True:
             row = self.row
@@ -340,7 +354,7 @@
             await self.term_changed.wait(remaining)
 
     def replicas(self) -> tuple[str, ...]:
-        """Return the servers other than the primary."""
+        """Return the names of the servers other than the primary."""
         primary = self.row.primary if self.row else ""
         return tuple(name for name in self.servers if name != primary)
 
@@ -356,7 +370,7 @@
                 return primary
 
     def _schedule_close_older_terms(self, term: int) -> None:
-        """Close connections on which a replaced primary owes an answer."""
+        """Schedule the close of busy connections to replaced primaries."""
         if any(started < term for started in self.busy_links.values()):
             loop = asyncio.get_running_loop()
             loop.call_later(
@@ -369,16 +383,16 @@
                 link.close()
 
     def link_started(self, link: ServerLink, term: int) -> None:
-        """Note that a primary owes an answer, or a transaction's end.
+        """Record that a statement or transaction started on a connection.
 
         Args:
-          link: The connection.
-          term: The term under which it was chosen.
+          link: The connection to a primary.
+          term: The term in which the server was selected as primary.
         """
         self.busy_links[link] = term
 
     def link_finished(self, link: ServerLink) -> None:
-        """Note that nothing is under way on a connection any more.
+        """Record that a connection has nothing in progress.
 
         Args:
           link: The connection.
@@ -387,7 +401,7 @@
             self.link_freed.notify()
 
     async def quiesce(self) -> None:
-        """Wait a moment for what is under way on the primary."""
+        """Wait up to QUIESCE_SECONDS for work on primaries to finish."""
         until = self.clock() + QUIESCE_SECONDS
         self.quiescing += 1
         try:
@@ -397,7 +411,7 @@
             self.quiescing -= 1
 
     def servers_past_drain_timeout(self) -> list[str]:
-        """Return the leaving servers whose transactions had their time."""
+        """Return the leaving servers whose drain timeout has passed."""
         limit = self.spec.drain_timeout_ms / 1000
         now = self.clock()
         return [
@@ -441,10 +455,10 @@
 
 
 def no_primary(detail: str) -> NotRun:
-    """Return the refusal for want of a primary.
+    """Return the refusal for a group without an open primary.
 
     Args:
-      detail: A sentence for people.
+      detail: A human-readable reason.
     """
     return NotRun(NotRunReason.NO_PRIMARY, detail, NO_PRIMARY_RETRY_MS)
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
@@ -1,4 +1,4 @@
-"""One database group on one of its home proxies."""
+"""A database group on one of its home proxies."""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -47,14 +47,14 @@
 
 
 class HomeGroup:
-    """Serves a group's statements on this VM.
+    """Executes a group's statements on this VM.
 
     Attributes:
-      state: What is known and held of the group.
-      counters: Counts of outcomes.
+      state: The servers, term, evidence and connections of the group.
+      counters: The statement counters of the group.
       transactions: The open transactions.
-      in_flight: Statements that are being served.
-      on_less_work: Called when a statement or transaction has ended.
+      in_flight: The number of statements that are running or queued.
+      on_work_finished: Called when a statement or transaction has ended.
     """
 
     def __init__(
@@ -97,21 +97,21 @@
         self.transactions = Transactions(*parts, self.counters)
 
     def start(self, servers: Sequence[ServerSpec]) -> None:
-        """Open connections.
+        """Open connections to the servers.
 
         Args:
-          servers: The group's declared servers.
+          servers: The declared servers of the group.
         """
         self.state.start(servers)
         self._update_concurrency_limit()
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all transactions and connections."""
         self.transactions.close_all()
         await self.state.close()
 
     def set_spec(self, spec: GroupSpec) -> None:
-        """Follow a change of the declared group.
+        """Apply a changed group declaration.
 
         Args:
           spec: The new declaration.
@@ -120,7 +120,7 @@
         self._update_concurrency_limit()
 
     def set_servers(self, servers: Sequence[ServerSpec]) -> None:
-        """Follow a change of the declared servers.
+        """Apply changed server declarations.
 
         Args:
           servers: The new declarations.
@@ -130,11 +130,11 @@
         self._update_concurrency_limit()
 
     def set_row(self, row: GroupRow, version: int) -> None:
-        """Take the group's row.
+        """Apply the group's row unless a newer one is known.
 
         Args:
           row: The row.
-          version: The change log's version that wrote it.
+          version: The change log version that wrote the row.
         """
         if self.state.set_row(row, version):
             self._update_concurrency_limit()
@@ -142,20 +142,22 @@
     def observe(
         self, report: ServerReport, sent_at: float, answered_at: float
     ) -> None:
-        """Take in the answer to a probe.
+        """Process the answer to a probe.
 
         Args:
-          report: What the server answered.
-          sent_at: When the probe was sent.
-          answered_at: When the answer came.
+          report: The state that the server reported.
+          sent_at: The time the probe was sent, in seconds on the monotonic
+            clock.
+          answered_at: The time the answer was received, in seconds on the
+            monotonic clock.
         """
         self.state.observe(report, sent_at, answered_at)
 
     async def execute(self, request: StatementRequest) -> StatementResult:
-        """Run a statement.
+        """Run a statement and return its result.
 
         Args:
-          request: The statement with its options.
+          request: The statement and its options.
         """
         deadline = self.state.clock() + request.deadline_ms / 1000
         self.in_flight += 1
@@ -168,10 +170,10 @@
         return result
 
     def tick(self, now: float) -> list[str]:
-        """Do what time asks for; return ids of closed transactions.
+        """Do periodic work; return the ids of transactions that it closed.
 
         Args:
-          now: The time on the monotonic clock.
+          now: The time in seconds on the monotonic clock.
         """
         self.state.apply_budget()
         self._update_concurrency_limit()
@@ -209,7 +211,7 @@
         return _request_rows(request.request_id, found.record)
 
     async def _position(self, request: StatementRequest) -> StatementResult:
-        """Return a position at or above what the session's last read saw."""
+        """Return a position that is not below the session's last read."""
         for server in (request.last_server, self.state.table.primary):
             control = self.state.controls.get(server)
             if control is None:
@@ -233,7 +235,7 @@
         return 1 if spec is None else spec.weight
 
     def _update_concurrency_limit(self) -> None:
-        """Set the admission limit to this home's part of the slots."""
+        """Set the admission limit to this home's share of the slots."""
         state = self.state
         row = state.row
         if row is None:
@@ -286,4 +288,4 @@
 
 
 def _do_nothing() -> None:
-    """Take no notice."""
+    """Do nothing."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/read_path.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/read_path.py
@@ -1,4 +1,4 @@
-"""The way of a read outside a transaction."""
+"""Execution of reads outside transactions."""
 
 import asyncio
 
@@ -45,14 +45,14 @@
 
 
 class ReadPath:
-    """Runs reads on replicas where that is right, else on the primary.
+    """Runs reads on replicas that are fresh enough, else on the primary.
 
     Attributes:
-      state: The group.
-      gate: The group's admission.
+      state: The state of the group.
+      gate: Admits statements to the group.
       runner: Runs statements.
-      acknowledger: Judges the primary's answers.
-      counters: Counts where reads were served.
+      acknowledger: Validates the primary's answers.
+      counters: The statement counters of the group.
     """
 
     def __init__(
@@ -75,9 +75,9 @@
         """Run a read and return its result.
 
         Args:
-          request: The statement with its options.
-          weight: The caller class's weight.
-          deadline: When the caller gives up, on the monotonic clock.
+          request: The statement and its options.
+          weight: The weight of the caller class.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         max_age_ms = request.max_age_ms
         if max_age_ms is None and not request.token:
@@ -126,8 +126,9 @@
     def _session_reads(self, request: StatementRequest) -> SessionReads:
         reads = SessionReads()
         if request.last_server and request.last_read_age_ms is not None:
-            # The age counts from the entry proxy, so it is at least the true
-            # one, and the instant is at most too late, which is safe.
+            # The age excludes the transit time from the entry proxy, so the
+            # computed time of the read may be late, which is safe, but not
+            # early.
             age = request.last_read_age_ms / 1000
             reads.record(
                 request.group,
@@ -140,10 +141,10 @@
     async def _wait_for_replica(
         self, request: StatementRequest, read_request: ReadRequest
     ) -> ReadRequest | Refuse:
-        """Wait once for a replica where that should pay.
+        """Wait once for a replica if that is expected to be faster.
 
         Returns:
-          What the read asks for from now on, or its refusal.
+          The read request to continue with, or the refusal.
         """
         choice = self._choose(read_request)
         if isinstance(choice, Refuse):
@@ -168,7 +169,7 @@
     async def _wait_until_reached(
         self, choice: WaitForReplica, read_request: ReadRequest
     ) -> None:
-        """Probe a replica until it holds what the read asks for."""
+        """Probe a replica until it has reached the position of the read."""
         target = read_request.target()
         evidence = self.state.table.evidence
         while (remaining := choice.until - self.state.clock()) > 0:
@@ -218,7 +219,7 @@
         choice: RouteToReplica,
         deadline: float,
     ) -> StatementResult | None:
-        """Return a replica's result, or None if it must not be used."""
+        """Run a read on a replica; return None if its answer is unusable."""
         branch = self.state.table.evidence.branch
         answer = await self.runner.run(choice.server, request, deadline)
         answered_at = self.state.clock()
@@ -274,7 +275,10 @@
             await asyncio.sleep(PRIMARY_RETRY_SECONDS)
             if self.state.clock() >= deadline:
                 return result_error(
-                    NotRun(NotRunReason.DEADLINE, "no primary answered in time")
+                    NotRun(
+                        NotRunReason.DEADLINE,
+                        "no primary answered before the deadline",
+                    )
                 )
 
     async def _try_on_primary(
@@ -309,5 +313,5 @@
         StatementOutcome.UNKNOWN,
         "in_doubt",
         sqlstate="08007",
-        message="the answer to a statement that must not repeat was lost",
+        message="the answer to a statement that is not repeatable was lost",
     )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
@@ -253,7 +253,7 @@
 
 def no_answer() -> NotRun:
     """Return the refusal for a lookup that found no primary in time."""
-    return no_primary("no primary answered in time")
+    return no_primary("no primary answered before the deadline")
 
 
 def _insert(parameters: tuple[str | int, ...]) -> Statement:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
@@ -1,4 +1,4 @@
-"""Transactions that sessions have open on a home proxy."""
+"""Open transactions of sessions on a home proxy."""
 
 import asyncio
 import collections
@@ -57,13 +57,20 @@
 
 
 class Transactions:
-    """Opens, serves and ends transactions.
+    """Opens, runs and ends transactions.
 
     Attributes:
-      state: The group.
+      state: The state of the group.
+      gate: Admits statements to the group.
+      runner: Acquires connections.
+      acknowledger: Validates the primary's answers.
+      records: The request records of the group.
+      counters: The statement counters of the group.
       open: The open transactions by id.
-      closed: The newest transactions that this home closed by itself.
-      opening: Keeps one transaction from being opened twice.
+      closed: The ids of the transactions that this home closed without a
+        request of the session, oldest first, at most MAX_CLOSED_KEPT.
+      opening: Locks by transaction id, so that concurrent first statements
+        open a transaction only once.
     """
 
     def __init__(
@@ -90,12 +97,12 @@
     async def run(
         self, request: StatementRequest, weight: int, deadline: float
     ) -> StatementResult:
-        """Run a statement of a transaction, opening it if need be.
+        """Run a statement of a transaction, which is opened if necessary.
 
         Args:
-          request: The statement with its options.
-          weight: The caller class's weight.
-          deadline: When the caller gives up, on the monotonic clock.
+          request: The statement and its options.
+          weight: The weight of the caller class.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         async with self.opening.acquire(request.transaction_id):
             transaction = self.open.get(request.transaction_id)
@@ -109,10 +116,10 @@
             self.gate.leave(slot)
 
     async def end_session(self, session_id: str) -> None:
-        """Roll back whatever a session has open.
+        """Roll back the open transactions of a session.
 
         Args:
-          session_id: The session.
+          session_id: The id of the session.
         """
         for transaction in tuple(self.open.values()):
             if transaction.session_id == session_id:
@@ -122,17 +129,17 @@
         """Close the transactions of all sessions of a lost entry proxy.
 
         Args:
-          prefix: What the ids of its sessions begin with.
+          prefix: The common prefix of the session ids of the entry proxy.
         """
         for transaction in tuple(self.open.values()):
             if transaction.session_id.startswith(prefix):
                 self._close(transaction)
 
     def expire(self, now: float) -> list[str]:
-        """Close transactions that are open for too long; return their ids.
+        """Close transactions past their timeout; return their ids.
 
         Args:
-          now: The time on the monotonic clock.
+          now: The time in seconds on the monotonic clock.
         """
         limit = self.state.spec.transaction_timeout_ms / 1000
         expired = [t for t in self.open.values() if now - t.opened_at > limit]
@@ -144,7 +151,7 @@
         """Close the transactions on a server; return their ids.
 
         Args:
-          server: The server's name.
+          server: The name of the server.
         """
         found = [t for t in self.open.values() if t.primary.server == server]
         for transaction in found:
@@ -163,7 +170,7 @@
             return ResultOk()
         closed = request.transaction_id in self.closed
         if closed or request.begun or request.kind is StatementKind.COMMIT:
-            return lost_transaction("this proxy does not hold it")
+            return lost_transaction("it is not open on this proxy")
         slot = await self.gate.enter(
             request.caller, request.caller_class, weight, deadline
         )
@@ -206,7 +213,7 @@
                 self.state.link_finished(link)
                 self.state.pools[primary.server].release(link)
         if not isinstance(answer, OkAnswer):
-            detail = f"no transaction could be opened: {answer}"
+            detail = f"could not open a transaction: {answer}"
             return NotRun(NotRunReason.NO_SERVER, detail, NO_SERVER_RETRY_MS)
         transaction = OpenTransaction(
             request.transaction_id,
@@ -358,7 +365,7 @@
         request: StatementRequest,
         deadline: float,
     ) -> StatementResult | None:
-        """Record the request id; return a result if that ends it all."""
+        """Record the request id; return a result if the transaction ended."""
         answer = await self.records.insert_for_commit(
             transaction.link, request.request_id, deadline
         )
@@ -369,9 +376,11 @@
             self.counters.repeats += 1
             found = await self.records.look_up(request.request_id, deadline)
             if isinstance(found, NotRun) or found.record is None:
-                return result_error(Unknown("its record was not found"))
+                return result_error(Unknown("the request record was not found"))
             return ResultOk()
-        return lost_transaction(f"its request id was not recorded: {answer}")
+        return lost_transaction(
+            f"its request id could not be recorded: {answer}"
+        )
 
     async def _resolve_unknown(
         self,
@@ -402,7 +411,11 @@
         return ResultOk()
 
     def _close(self, transaction: OpenTransaction) -> None:
-        """Close a transaction that its session may still take for open."""
+        """Close a transaction without a request of its session.
+
+        The id is kept, so that later statements of the session are refused and
+        do not open a new transaction.
+        """
         self.closed[transaction.transaction_id] = None
         while len(self.closed) > MAX_CLOSED_KEPT:
             self.closed.popitem(last=False)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
@@ -1,4 +1,4 @@
-"""The way of a write outside a transaction."""
+"""Execution of writes outside transactions."""
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
@@ -51,12 +51,12 @@
     """Runs writes on the primary and acknowledges them.
 
     Attributes:
-      state: The group.
-      gate: The group's admission.
+      state: The state of the group.
+      gate: Admits statements to the group.
       runner: Runs statements.
-      acknowledger: Judges commits.
-      records: The group's request records.
-      counters: Counts outcomes.
+      acknowledger: Validates commits.
+      records: The request records of the group.
+      counters: The statement counters of the group.
     """
 
     def __init__(
@@ -81,9 +81,9 @@
         """Run a write and return its result.
 
         Args:
-          request: The statement with its options.
-          weight: The caller class's weight.
-          deadline: When the caller gives up, on the monotonic clock.
+          request: The statement and its options.
+          weight: The weight of the caller class.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         opened = await self.state.wait_for_primary(deadline)
         if isinstance(opened, NotRun):
@@ -101,7 +101,7 @@
     async def _run_with_retries(
         self, request: StatementRequest, deadline: float, attempt: int = 0
     ) -> StatementResult:
-        """Run a write, again only where that can't make it run twice."""
+        """Run a write; retry only where it cannot take effect twice."""
         while True:
             attempt += 1
             primary = await self.state.wait_for_primary(deadline)
@@ -154,7 +154,7 @@
     async def _verdict(
         self, position: Position | None, primary: OpenPrimary, deadline: float
     ) -> Done | Failed | Unknown:
-        """Acknowledge a commit, or an answer that changed nothing."""
+        """Validate a commit, or an answer without a commit position."""
         if position is not None:
             return await self.acknowledger.write(position, deadline)
         verdict = await self.acknowledger.read(
@@ -162,7 +162,9 @@
         )
         if verdict is ReadVerdict.VALID:
             return Done()
-        return Unknown("the primary was replaced before it had answered")
+        return Unknown(
+            "the primary was replaced before its answer was validated"
+        )
 
     async def _run_recorded(
         self,
@@ -230,7 +232,7 @@
         return _ok(execution_result.result, position, primary.server)
 
     async def _replay_position(self, primary: OpenPrimary) -> Position | None:
-        """Return a position at or above a write that an earlier run made."""
+        """Return a position that is not below an earlier run's commit."""
         evidence = self.state.table.evidence
         sent_at = self.state.clock()
         report = await self.state.controls[primary.server].probe(1.0)
@@ -248,10 +250,10 @@
         deadline: float,
         attempt: int,
     ) -> StatementResult:
-        """Find out what became of a write whose answer was lost.
+        """Determine the outcome of a write whose answer was lost.
 
-        Where it may run again it does so under the same request id, whose
-        unique key lets one of the two commit.
+        A repeatable write is retried with the same request id. The unique key
+        on the request id lets only one of the runs commit.
         """
         if request.repeatable and attempt < MAX_ATTEMPTS:
             retry = await self._run_with_retries(request, deadline, attempt)
@@ -264,7 +266,7 @@
         if found.record is not None and not found.record.is_finished:
             return result_error(unknown_result)
         if found.record is None:
-            detail = "the primary was replaced and did not keep the write"
+            detail = "the write was lost when the primary was replaced"
             return result_error(
                 Failed(LOST_WRITE_CODE, LOST_WRITE_STATE, detail)
             )
@@ -276,13 +278,13 @@
         return _ok(found.record.result, position, "")
 
     def _is_superseded(self, primary: OpenPrimary) -> bool:
-        """Return whether a primary may not get work any more."""
+        """Return whether a primary no longer accepts statements."""
         return not self.runner.is_current_primary(primary.server, primary.term)
 
     def _may_retry(
         self, execution_result: NotRun | Failed, primary: OpenPrimary
     ) -> bool:
-        """Return whether a write left no effect and may find a way now."""
+        """Return whether a write had no effect and a retry may succeed."""
         if isinstance(execution_result, NotRun):
             return execution_result.reason is NotRunReason.NO_PRIMARY
         if execution_result.code == CONNECTION_LOST_CODE:
@@ -293,14 +295,14 @@
 
 
 def _is_refusal(result: StatementResult) -> bool:
-    """Return whether a result says that this attempt did not run."""
+    """Return whether a result states that the attempt did not run."""
     if not isinstance(result, ResultError):
         return False
     return result.outcome is StatementOutcome.NOT_RUN
 
 
 def _commits_itself(sql: str) -> bool:
-    """Return whether a statement may commit by itself, as DDL does."""
+    """Return whether a statement may commit implicitly, as DDL does."""
     kind = classify(sql).kind
     return kind is FrontKind.IMPLICIT_COMMIT or first_word(sql) == "call"
 
--- a/packages/jackdawcrank-proxy/tests/execution/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/execution/conftest.py
@@ -1,4 +1,4 @@
-"""A home group over a small fake of its backend server."""
+"""A home group connected to a fake of its backend servers."""
 
 import asyncio
 import collections
@@ -48,7 +48,7 @@
 
 
 def step_of(sql: str) -> str:
-    """Return which step of an execution a statement belongs to."""
+    """Return the execution step that a statement belongs to."""
     if "jackdawcrank_requests" in sql:
         word = sql.split()[0].lower()
         return {"insert": "insert", "update": "record"}.get(word, word)
@@ -63,16 +63,19 @@
 
 @attrs.define
 class FakeBackend:
-    """The servers of a group, which share one log.
+    """A fake of the servers of a group, which share one log.
 
     Attributes:
-      script: What becomes of the next statements of a step.
-      hooks: What happens while a statement of a step runs.
-      sent: The connection and text of each statement that left the proxy.
+      clock: Returns the time in seconds.
+      term: The current term.
+      offset: The offset of the last commit.
+      script: The scripted responses to the next statements by step.
+      hooks: Functions that are called when a statement runs, by step.
+      sent: The connection and text of each statement that the proxy sent.
       refused: The statements that were answered with error 1290.
-      committed: The statements that stand.
+      committed: The committed statements.
       records: The digests and results of recorded requests.
-      links: Every connection that was opened.
+      links: All connections that were opened.
     """
 
     clock: Callable[[], float]
@@ -87,21 +90,21 @@
     links: list["FakeLink"] = attrs.field(factory=list)
 
     def texts(self, step: str) -> list[str]:
-        """Return the sent statements of a step."""
+        """Return the texts of the statements sent for a step."""
         return [sql for _, sql in self.sent if step_of(sql) == step]
 
     def set_responses(self, step: str, *responses: str) -> None:
-        """Say what becomes of the next statements of a step."""
+        """Set the responses to the next statements of a step."""
         self.script[step] = collections.deque(responses)
 
     def response(self, step: str) -> str:
-        """Return what becomes of a statement of a step."""
+        """Return the next response for a step."""
         queued = self.script.get(step)
         return queued.popleft() if queued else "ok"
 
 
 class FakeLink(ServerLink):
-    """One connection to the fake."""
+    """A connection to the fake backend."""
 
     def __init__(self, server: str, backend: FakeBackend) -> None:
         super().__init__(server, None)
@@ -242,7 +245,7 @@
 
 @attrs.define
 class GroupHarness:
-    """A home group over the fake, with its lease under control."""
+    """A home group on the fake backend, with a controllable lease."""
 
     backend: FakeBackend
     group: HomeGroup
@@ -250,7 +253,7 @@
     versions: Any = attrs.field(factory=lambda: itertools.count(1))
 
     def set_lease(self, state: str) -> None:
-        """Hold, let lapse or close the lease."""
+        """Set the lease to held, lapsed or closed."""
         self.leases.renewed_at = math.inf if state == "held" else -math.inf
         if state == "closed":
             self.close_term()
@@ -261,7 +264,7 @@
         self.group.set_row(row, version)
 
     def close_term(self) -> None:
-        """Begin a promotion."""
+        """Start a promotion, which closes the term."""
         self.set_row(row_of(2, 0, GroupPhase.PREPARING))
 
     def open_term(self, kept: bool = True) -> None:
@@ -281,7 +284,7 @@
         )
 
     def assert_idle(self) -> None:
-        """Assert that nothing is held and nothing is left on connections."""
+        """Assert that all slots, transactions and connections are released."""
         state = self.group.state
         assert self.group.transactions.open == {}
         assert state.busy_links == {}
@@ -310,7 +313,7 @@
 
 @pytest.fixture
 def run_scenario(monkeypatch: pytest.MonkeyPatch) -> Callable[..., Any]:
-    """Return a function that runs a scenario on virtual time."""
+    """Return a function that runs a scenario in virtual time."""
 
     async def run(scenario: Scenario, spec: GroupSpec) -> Any:
         loop = asyncio.get_running_loop()
--- a/packages/jackdawcrank-proxy/tests/execution/test_transactions.py
+++ b/packages/jackdawcrank-proxy/tests/execution/test_transactions.py
@@ -1,4 +1,4 @@
-"""Tests of transactions on connections of their own."""
+"""Tests of transactions on dedicated connections."""
 
 import asyncio
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 
 async def run_steps(harness: Any, steps: list[Any]) -> None:
-    """Run the statements of three sessions side by side."""
+    """Run the statements of three sessions concurrently."""
     queues = {name: [s for s in steps if s[0] == name] for name in TRANSACTIONS}
     await asyncio.gather(*(session(harness, *q) for q in queues.items()))
     for name in TRANSACTIONS:
@@ -219,7 +219,7 @@
 def test_closed_transaction_is_not_reopened(
     run_scenario: Callable[..., Any], outcome: Any, close: Any
 ) -> None:
-    """Half of a transaction must not be committed."""
+    """A late statement must not commit part of a closed transaction."""
 
     async def scenario(harness: Any) -> None:
         first = await harness.execute(SQL, transaction_id="t1")
--- a/packages/jackdawcrank-proxy/tests/execution/test_write_path.py
+++ b/packages/jackdawcrank-proxy/tests/execution/test_write_path.py
@@ -1,4 +1,4 @@
-"""Tests of writes outside transactions, at each fate of each step."""
+"""Tests of writes outside transactions, for each response to each step."""
 
 import asyncio
 import itertools
@@ -27,13 +27,14 @@
 
 @attrs.frozen
 class Case:
-    """One way of a write.
+    """The parameters of a write.
 
     Attributes:
       recorded: Whether it carries a request id.
       repeatable: Whether it may be sent twice.
-      lease: What becomes of the lease while the statement runs.
-      change: What a change of term, while it runs, keeps.
+      lease: The lease state that is set while the statement runs.
+      change: Whether the term changes while the statement runs, and whether
+        the new term keeps the newest writes.
       sql: The statement.
     """
 
@@ -51,13 +52,14 @@
 
 @attrs.frozen
 class Observation:
-    """What was seen of a write.
+    """The observed effects of a write.
 
     Attributes:
-      outcome: What the caller was told.
-      sent: How often the statement left the proxy.
-      may_have_run: How often it left and was not refused as not run.
-      committed: How often it was committed.
+      outcome: The outcome returned to the caller.
+      sent: The number of times the statement was sent.
+      may_have_run: The number of times it was sent and not refused with
+        error 1290.
+      committed: The number of times it was committed.
     """
 
     outcome: str
@@ -79,7 +81,7 @@
     step: str,
     responses: tuple[str, ...],
 ) -> Observation:
-    """Run a write and return what was seen of it."""
+    """Run a write and return its observed effects."""
 
     def apply_changes() -> None:
         harness.backend.hooks.clear()
@@ -112,7 +114,7 @@
     case: Case,
     times: tuple[int, ...],
 ) -> Iterator[tuple[str, Observation]]:
-    """Yield what was seen of a case at each fate of each step."""
+    """Yield the effects of a case for each response to each step."""
     for step, response, count in itertools.product(STEPS, RESPONSES, times):
         responses = (response,) * count
         observation = run_scenario(
@@ -178,7 +180,7 @@
 def test_record_without_result_gives_unknown_outcome(
     run_scenario: Callable[..., Any], outcome: Any, sql: str, repeatable: bool
 ) -> None:
-    """The statement committed its record and was lost half done."""
+    """An implicit commit stores the record before the connection is lost."""
     case = Case(True, repeatable, sql=sql)
     observation = run_scenario(
         lambda w: run_case(w, outcome, case, "run", ("lost_midway",))
