--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
@@ -92,9 +92,9 @@
         self.reads = ReadPath(
             self.state, self.gate, runner, acknowledger, self.counters
         )
-        parts = (self.state, self.gate, runner, acknowledger, self.records)
-        self.writes = WritePath(*parts, self.counters)
-        self.transactions = Transactions(*parts, self.counters)
+        components = (self.state, self.gate, runner, acknowledger, self.records)
+        self.writes = WritePath(*components, self.counters)
+        self.transactions = Transactions(*components, self.counters)
 
     def start(self, servers: Sequence[ServerSpec]) -> None:
         """Open connections to the servers.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
@@ -197,7 +197,7 @@
             if valid and isinstance(answer, RowsAnswer | ErrorAnswer):
                 return RecordLookup(_record(answer), primary.term)
             if self.state.clock() >= deadline:
-                return no_answer()
+                return no_primary_answered()
             await asyncio.sleep(RESOLVE_RETRY_SECONDS)
 
     async def resolve(
@@ -251,7 +251,7 @@
             self.state.pools[server].release(link)
 
 
-def no_answer() -> NotRun:
+def no_primary_answered() -> NotRun:
     """Return the refusal for a lookup that found no primary in time."""
     return no_primary("no primary answered before the deadline")
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
@@ -310,7 +310,7 @@
         answer = await transaction.link.run(
             "COMMIT", self.runner.remaining(deadline)
         )
-        outcome = await self._judge_commit(transaction, answer, deadline)
+        outcome = await self._evaluate_commit(transaction, answer, deadline)
         self._finish(transaction)
         if isinstance(outcome, ResultError) and request.request_id:
             return await self._resolve_unknown(
@@ -318,7 +318,7 @@
             )
         return outcome
 
-    async def _judge_commit(
+    async def _evaluate_commit(
         self,
         transaction: OpenTransaction,
         answer: LinkAnswer,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
@@ -118,7 +118,7 @@
                 continue
             retry = request.repeatable and attempt < MAX_ATTEMPTS
             if not _was_rolled_back(answer) or not retry:
-                return await self._judge(answer, primary, deadline)
+                return await self._evaluate_answer(answer, primary, deadline)
             await self._wait_for_change(primary, deadline)
 
     async def _wait_for_change(
@@ -128,7 +128,7 @@
             remaining = max(0.0, deadline - self.state.clock())
             await self.state.term_changed.wait(min(1.0, remaining))
 
-    async def _judge(
+    async def _evaluate_answer(
         self,
         answer: LinkAnswer | NotStarted,
         primary: OpenPrimary,
@@ -177,7 +177,7 @@
             primary.server, request.setup, deadline
         )
         if isinstance(link, NotStarted):
-            return await self._judge(link, primary, deadline)
+            return await self._evaluate_answer(link, primary, deadline)
         if self._is_superseded(primary):
             self.state.pools[primary.server].release(link)
             return await self._run_with_retries(request, deadline, attempt)
@@ -193,7 +193,7 @@
             self.state.link_finished(link)
             self.state.pools[primary.server].release(link)
         if isinstance(execution_result, Executed):
-            return await self._judge_executed(
+            return await self._evaluate_executed(
                 execution_result, primary, request, deadline, attempt
             )
         if isinstance(execution_result, Unknown):
@@ -209,7 +209,7 @@
             return result
         return result_error(execution_result)
 
-    async def _judge_executed(
+    async def _evaluate_executed(
         self,
         execution_result: Executed,
         primary: OpenPrimary,
