--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
@@ -19,8 +19,8 @@
     Unknown,
 )
 
-CONFIRM_SECONDS = 1.0
-PROBE_SECONDS = 0.5
+CONFIRM_TIMEOUT_SECONDS = 1.0
+PROBE_TIMEOUT_SECONDS = 0.5
 LOST_WRITE_CODE = 1180
 LOST_WRITE_STATE = "HY000"
 
@@ -134,7 +134,7 @@
         deadline: float,
     ) -> dict[str, int | None]:
         remaining = max(0.01, deadline - self.state.clock())
-        timeout = min(CONFIRM_SECONDS, remaining)
+        timeout = min(CONFIRM_TIMEOUT_SECONDS, remaining)
         tasks = {
             asyncio.create_task(
                 self.state.controls[name].confirm(position, timeout)
@@ -170,7 +170,7 @@
     ) -> dict[str, int | None]:
         controls = [self.state.controls[name] for name in servers]
         reports = await asyncio.gather(
-            *(control.probe(PROBE_SECONDS) for control in controls)
+            *(control.probe(PROBE_TIMEOUT_SECONDS) for control in controls)
         )
         return {
             name: report.term if isinstance(report, ServerReport) else None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
@@ -31,7 +31,7 @@
 NO_PRIMARY_RETRY_MS = 500
 # Grace period for answers of a replaced primary that are still in transit.
 OLD_TERM_GRACE_SECONDS = 0.1
-QUIESCE_SECONDS = 0.05
+QUIESCE_TIMEOUT_SECONDS = 0.05
 CONTROL_CONNECTIONS = 2
 LATENCY_WEIGHT = 0.1
 
@@ -401,8 +401,8 @@
             self.link_freed.notify()
 
     async def quiesce(self) -> None:
-        """Wait up to QUIESCE_SECONDS for work on primaries to finish."""
-        until = self.clock() + QUIESCE_SECONDS
+        """Wait up to QUIESCE_TIMEOUT_SECONDS for work on primaries to finish."""
+        until = self.clock() + QUIESCE_TIMEOUT_SECONDS
         self.quiescing += 1
         try:
             while self.busy_links and (remaining := until - self.clock()) > 0:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
@@ -43,7 +43,7 @@
     StatementResult,
 )
 
-PROBE_SECONDS = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
 
 
 class HomeGroup:
@@ -217,7 +217,7 @@
             if control is None:
                 continue
             sent_at = self.state.clock()
-            report = await control.probe(PROBE_SECONDS)
+            report = await control.probe(PROBE_TIMEOUT_SECONDS)
             if not isinstance(report, ServerReport):
                 continue
             self.state.observe(report, sent_at, self.state.clock())
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/read_path.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/read_path.py
@@ -39,7 +39,7 @@
 
 READ_ONLY_CODE = 1290
 MAX_ATTEMPTS = 4
-PROBE_SECONDS = 0.5
+PROBE_TIMEOUT_SECONDS = 0.5
 PRIMARY_RETRY_SECONDS = 0.02
 PROBE_PAUSE_SECONDS = 0.05
 
@@ -259,7 +259,7 @@
 
     async def _probe(self, server: str) -> None:
         sent_at = self.state.clock()
-        report = await self.state.controls[server].probe(PROBE_SECONDS)
+        report = await self.state.controls[server].probe(PROBE_TIMEOUT_SECONDS)
         if isinstance(report, ServerReport):
             self.state.observe(report, sent_at, self.state.clock())
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
@@ -16,7 +16,7 @@
 )
 
 EXPIRY_INTERVAL_SECONDS = 300.0
-STATEMENT_SECONDS = 10.0
+STATEMENT_TIMEOUT_SECONDS = 10.0
 
 
 class RecordExpiry:
@@ -49,7 +49,7 @@
         primary = self.state.primary()
         if primary is None:
             return 0
-        deadline = self.state.clock() + STATEMENT_SECONDS
+        deadline = self.state.clock() + STATEMENT_TIMEOUT_SECONDS
         link = await self.runner.acquire(primary.server, (), deadline)
         if isinstance(link, NotStarted):
             return 0
@@ -59,7 +59,7 @@
             self.state.pools[primary.server].release(link)
 
     async def _delete(self, link: ServerLink) -> int:
-        answer = await link.run(SELECT_OLDEST, STATEMENT_SECONDS)
+        answer = await link.run(SELECT_OLDEST, STATEMENT_TIMEOUT_SECONDS)
         if not isinstance(answer, RowsAnswer) or not answer.rows:
             return 0
         oldest = answer.rows[0][0]
@@ -68,5 +68,7 @@
         )
         if bound is None:
             return 0
-        deleted = await link.run(DELETE_EXPIRED % bound, STATEMENT_SECONDS)
+        deleted = await link.run(
+            DELETE_EXPIRED % bound, STATEMENT_TIMEOUT_SECONDS
+        )
         return deleted.affected_rows if isinstance(deleted, OkAnswer) else 0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
@@ -42,7 +42,7 @@
 
 DUPLICATE_KEY = 1062
 NO_SUCH_TABLE = 1146
-RESOLVE_SECONDS = 2.0
+RESOLVE_TIMEOUT_SECONDS = 2.0
 RESOLVE_RETRY_SECONDS = 0.1
 COMMIT_DIGEST_TEXT = "COMMIT"
 
@@ -217,7 +217,7 @@
           The record, or the later term that has none; None if neither was
           found in time.
         """
-        until = min(deadline, self.state.clock() + RESOLVE_SECONDS)
+        until = min(deadline, self.state.clock() + RESOLVE_TIMEOUT_SECONDS)
         while self.state.clock() < until:
             found = await self.look_up(request_id, until)
             if isinstance(found, RecordLookup) and (
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/statement_runner.py
@@ -15,7 +15,7 @@
 from jackdawcrank_wire.messages import StatementRequest
 
 SETUP_TIMEOUT_SECONDS = 1.0
-ACQUIRE_SECONDS = 2.5
+ACQUIRE_TIMEOUT_SECONDS = 2.5
 
 
 @attrs.frozen
@@ -91,7 +91,7 @@
           deadline: The caller's deadline in seconds on the monotonic clock.
         """
         pool = self.state.pools[server]
-        timeout = min(ACQUIRE_SECONDS, self.remaining(deadline))
+        timeout = min(ACQUIRE_TIMEOUT_SECONDS, self.remaining(deadline))
         link = await pool.acquire(timeout)
         if not isinstance(link, ServerLink):
             self._count_failure(server)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
@@ -51,7 +51,7 @@
 )
 
 ROLLED_BACK_CODES = frozenset({1205, 1213, 1290, 3024})
-ROLLBACK_SECONDS = 1.0
+ROLLBACK_TIMEOUT_SECONDS = 1.0
 NO_SERVER_RETRY_MS = 200
 MAX_CLOSED_KEPT = 10_000
 
@@ -404,7 +404,9 @@
         if self.open.get(transaction.transaction_id) is not transaction:
             return ResultOk()
         if transaction.link.usable:
-            answer = await transaction.link.run("ROLLBACK", ROLLBACK_SECONDS)
+            answer = await transaction.link.run(
+                "ROLLBACK", ROLLBACK_TIMEOUT_SECONDS
+            )
             if not isinstance(answer, OkAnswer):
                 transaction.link.close()
         self._finish(transaction)
