--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/acknowledger.py
@@ -1,4 +1,4 @@
-"""Decides when an answer of the primary may be given to the caller."""
+"""Decides when a primary's answer may be returned to the caller."""
 
 import asyncio
 import enum
@@ -19,24 +19,24 @@
     Unknown,
 )
 
-CONFIRM_SECONDS = 1.0
-PROBE_SECONDS = 0.5
+CONFIRM_TIMEOUT_SECONDS = 1.0
+PROBE_TIMEOUT_SECONDS = 0.5
 LOST_WRITE_CODE = 1180
 LOST_WRITE_STATE = "HY000"
 
 
 class ReadVerdict(enum.Enum):
-    """What becomes of a primary's answer to a read."""
+    """Whether a primary's answer to a read may be returned."""
 
-    STANDS = enum.auto()
-    READ_AGAIN = enum.auto()
+    VALID = enum.auto()
+    RETRY = enum.auto()
 
 
 class Acknowledger:
-    """Acknowledges what a primary has answered.
+    """Checks that a primary's answers remain valid across terms.
 
     Attributes:
-      state: The group.
+      state: The state of the group.
     """
 
     def __init__(self, state: GroupState) -> None:
@@ -45,11 +45,18 @@
     async def write(
         self, position: Position, deadline: float
     ) -> Done | Failed | Unknown:
-        """Return whether a committed write stands.
+        """Return whether a committed write is durable.
+
+        A write whose term was closed is checked against the branch of the next
+        open term.
 
         Args:
-          position: The position of its commit.
-          deadline: When the caller gives up, on the monotonic clock.
+          position: The position of the commit.
+          deadline: The caller's deadline in seconds on the monotonic clock.
+
+        Returns:
+          Done if the write is kept, Failed if a change of primary lost it, and
+          Unknown if neither is certain before the deadline.
         """
         term = position.term
         replies: dict[str, int | None] = {}
@@ -66,13 +73,15 @@
             if isinstance(verdict, Done | Unknown):
                 return verdict
             if self.state.clock() >= deadline:
-                return Unknown("no confirmation came before the deadline")
+                return Unknown("no confirmation received before the deadline")
             if isinstance(verdict, NeedConfirmation):
                 replies |= await self._confirm(
                     verdict, position, term, deadline
                 )
                 continue
-            settled = await self._settle(verdict, position, deadline)
+            settled = await self._resolve_in_later_term(
+                verdict, position, deadline
+            )
             if not isinstance(settled, int):
                 return settled
             term, replies = settled, {}
@@ -80,12 +89,12 @@
     async def read(
         self, server: str, term: int, deadline: float
     ) -> ReadVerdict:
-        """Return whether a primary's answer to a read stands.
+        """Return whether a primary's answer to a read is valid.
 
         Args:
-          server: The primary that answered.
-          term: The term under which it was chosen.
-          deadline: When the caller gives up, on the monotonic clock.
+          server: The name of the primary that answered.
+          term: The term in which it was selected as primary.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         replies: dict[str, int | None] = {}
         while True:
@@ -98,19 +107,19 @@
                 replies,
             )
             if isinstance(verdict, Done):
-                return ReadVerdict.STANDS
-            late = self.state.clock() >= deadline
-            if late or not isinstance(verdict, NeedConfirmation):
-                return ReadVerdict.READ_AGAIN
+                return ReadVerdict.VALID
+            expired = self.state.clock() >= deadline
+            if expired or not isinstance(verdict, NeedConfirmation):
+                return ReadVerdict.RETRY
             replies |= await self._probe_terms(verdict.servers)
 
-    async def _settle(
+    async def _resolve_in_later_term(
         self, wait: AwaitTerm, position: Position, deadline: float
     ) -> int | Failed | Unknown:
         row = await self.state.active_row_above(wait.closed_term, deadline)
         if row is None:
             return Unknown(
-                f"term {wait.closed_term} closed; no later one is open"
+                f"term {wait.closed_term} is closed and no later term is open"
             )
         if isinstance(resolve_write(position, row.branch), Done):
             return row.term
@@ -125,34 +134,34 @@
         deadline: float,
     ) -> dict[str, int | None]:
         remaining = max(0.01, deadline - self.state.clock())
-        timeout = min(CONFIRM_SECONDS, remaining)
-        asked = {
+        timeout = min(CONFIRM_TIMEOUT_SECONDS, remaining)
+        tasks = {
             asyncio.create_task(
                 self.state.controls[name].confirm(position, timeout)
             ): name
             for name in need.servers
         }
-        replies = await self._enough(asked, term, need.count)
-        # Those that are not needed any more must not hold the caller.
+        replies = await self._collect_replies(tasks, term, need.count)
+        # Replies that are no longer needed must not delay the caller.
         return dict.fromkeys(need.servers) | replies
 
-    async def _enough(
+    async def _collect_replies(
         self,
-        asked: "dict[asyncio.Task[int | None], str]",
+        tasks: "dict[asyncio.Task[int | None], str]",
         term: int,
         count: int,
     ) -> dict[str, int | None]:
-        """Return the replies up to the last that is needed."""
+        """Collect replies until enough servers have confirmed the term."""
         replies: dict[str, int | None] = {}
-        waiting = set(asked)
+        pending = set(tasks)
         try:
-            while waiting and _confirmed(replies, term) < count:
-                done, waiting = await asyncio.wait(
-                    waiting, return_when=asyncio.FIRST_COMPLETED
+            while pending and _confirmed(replies, term) < count:
+                done, pending = await asyncio.wait(
+                    pending, return_when=asyncio.FIRST_COMPLETED
                 )
-                replies |= {asked[task]: task.result() for task in done}
+                replies |= {tasks[task]: task.result() for task in done}
         finally:
-            for task in waiting:
+            for task in pending:
                 task.cancel()
         return replies
 
@@ -161,7 +170,7 @@
     ) -> dict[str, int | None]:
         controls = [self.state.controls[name] for name in servers]
         reports = await asyncio.gather(
-            *(control.probe(PROBE_SECONDS) for control in controls)
+            *(control.probe(PROBE_TIMEOUT_SECONDS) for control in controls)
         )
         return {
             name: report.term if isinstance(report, ServerReport) else None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/admission_gate.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/admission_gate.py
@@ -1,4 +1,4 @@
-"""Lets statements wait for a slot of their group."""
+"""Admission of statements to the concurrency slots of a group."""
 
 import asyncio
 import itertools
@@ -13,14 +13,19 @@
 )
 from jackdawcrank_policy.values import NotRun
 
-EXPIRY_SECONDS = 0.02
+EXPIRY_CHECK_SECONDS = 0.02
 
 
 class AdmissionGate:
-    """Carries a group's admission decisions to the waiting statements.
+    """Queues statements and applies a group's admission decisions to them.
 
     Attributes:
-      admission: The decisions.
+      admission: Decides which statements are admitted, queued or refused.
+      clock: Returns the monotonic time in seconds.
+      numbers: The source of request numbers.
+      waiters: The futures of queued statements by request number. A result
+        of None means that the statement is admitted.
+      expiry_scheduled: Whether the next expiry check is scheduled.
     """
 
     def __init__(
@@ -29,19 +34,22 @@
         self.admission = admission
         self.clock = clock
         self.numbers = itertools.count(1)
-        self.waiting: dict[int, asyncio.Future[NotRun | None]] = {}
-        self.ticking = False
+        self.waiters: dict[int, asyncio.Future[NotRun | None]] = {}
+        self.expiry_scheduled = False
 
     async def enter(
         self, caller: str, caller_class: str, weight: int, deadline: float
     ) -> int | NotRun:
-        """Wait for a slot; return its number for `leave`, or a refusal.
+        """Wait for a slot.
 
         Args:
-          caller: The caller's name.
-          caller_class: The caller class's name.
-          weight: The caller class's weight.
-          deadline: When the caller gives up, on the monotonic clock.
+          caller: The name of the caller.
+          caller_class: The name of the caller class.
+          weight: The weight of the caller class.
+          deadline: The caller's deadline in seconds on the monotonic clock.
+
+        Returns:
+          The number of the slot, to be passed to `leave`, or the refusal.
         """
         request = AdmissionRequest(
             next(self.numbers), caller, deadline, caller_class, weight
@@ -53,11 +61,14 @@
             return request.number
         return await self._wait(request, decision)
 
-    def enter_at_once(self, caller: str) -> int:
-        """Take a slot beyond the limit, for a transaction that goes on.
+    def enter_over_limit(self, caller: str) -> int:
+        """Take a slot regardless of the limit, for an open transaction.
 
         Args:
-          caller: The caller's name.
+          caller: The name of the caller.
+
+        Returns:
+          The number of the slot, to be passed to `leave`.
         """
         now = self.clock()
         request = AdmissionRequest(next(self.numbers), caller, now)
@@ -65,18 +76,18 @@
         return request.number
 
     def leave(self, number: int) -> None:
-        """Free a slot.
+        """Release a slot.
 
         Args:
-          number: What `enter` returned.
+          number: The number that `enter` or `enter_over_limit` returned.
         """
         self._deliver(self.admission.finish(number, self.clock()))
 
     def set_limit(self, limit: int) -> None:
-        """Follow a change of the number of slots.
+        """Change the number of slots.
 
         Args:
-          limit: Statements that may run at once.
+          limit: The number of statements that may run concurrently.
         """
         if limit != self.admission.limit:
             self._deliver(self.admission.set_limit(limit, self.clock()))
@@ -86,19 +97,19 @@
     ) -> int | NotRun:
         future: asyncio.Future[NotRun | None]
         future = asyncio.get_running_loop().create_future()
-        self.waiting[request.number] = future
+        self.waiters[request.number] = future
         self._deliver(queued.displaced)
-        self._tick_later()
+        self._schedule_expiry()
         try:
             refusal = await future
         except asyncio.CancelledError:
-            self._abandon(request, future)
+            self._withdraw(request, future)
             raise
         finally:
-            self.waiting.pop(request.number, None)
+            self.waiters.pop(request.number, None)
         return request.number if refusal is None else refusal
 
-    def _abandon(
+    def _withdraw(
         self, request: AdmissionRequest, future: asyncio.Future[NotRun | None]
     ) -> None:
         admitted = future.done() and not future.cancelled()
@@ -109,7 +120,7 @@
 
     def _deliver(self, decisions: Iterable[Admitted | Refused]) -> None:
         for decision in decisions:
-            future = self.waiting.get(decision.request.number)
+            future = self.waiters.get(decision.request.number)
             if future is None or future.done():
                 continue
             if isinstance(decision, Refused):
@@ -117,14 +128,14 @@
             else:
                 future.set_result(None)
 
-    def _tick_later(self) -> None:
-        if not self.ticking:
-            self.ticking = True
+    def _schedule_expiry(self) -> None:
+        if not self.expiry_scheduled:
+            self.expiry_scheduled = True
             loop = asyncio.get_running_loop()
-            loop.call_later(EXPIRY_SECONDS, self._tick)
+            loop.call_later(EXPIRY_CHECK_SECONDS, self._expire)
 
-    def _tick(self) -> None:
-        self.ticking = False
+    def _expire(self) -> None:
+        self.expiry_scheduled = False
         self._deliver(self.admission.expire(self.clock()))
-        if self.waiting:
-            self._tick_later()
+        if self.waiters:
+            self._schedule_expiry()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
@@ -1,4 +1,4 @@
-"""One database group on one of its home proxies."""
+"""A database group on one of its home proxies."""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -43,18 +43,18 @@
     StatementResult,
 )
 
-PROBE_SECONDS = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
 
 
 class HomeGroup:
-    """Serves a group's statements on this VM.
+    """Executes a group's statements on this VM.
 
     Attributes:
-      state: What is known and held of the group.
-      counters: Counts of outcomes.
+      state: The servers, term, evidence and connections of the group.
+      counters: The statement counters of the group.
       transactions: The open transactions.
-      in_flight: Statements that are being served.
-      on_less_work: Called when a statement or transaction has ended.
+      in_flight: The number of statements that are running or queued.
+      on_work_finished: Called when a statement or transaction has ended.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         )
         self.counters = GroupCounters()
         self.in_flight = 0
-        self.on_less_work: Callable[[], None] = _do_nothing
+        self.on_work_finished: Callable[[], None] = _do_nothing
         self.classes: Mapping[str, CallerClassSpec] = {}
         self.gate = AdmissionGate(GroupAdmission(limit=1), clock)
         runner = StatementRunner(self.state)
@@ -92,70 +92,72 @@
         self.reads = ReadPath(
             self.state, self.gate, runner, acknowledger, self.counters
         )
-        parts = (self.state, self.gate, runner, acknowledger, self.records)
-        self.writes = WritePath(*parts, self.counters)
-        self.transactions = Transactions(*parts, self.counters)
+        components = (self.state, self.gate, runner, acknowledger, self.records)
+        self.writes = WritePath(*components, self.counters)
+        self.transactions = Transactions(*components, self.counters)
 
     def start(self, servers: Sequence[ServerSpec]) -> None:
-        """Open connections.
+        """Open connections to the servers.
 
         Args:
-          servers: The group's declared servers.
+          servers: The declared servers of the group.
         """
         self.state.start(servers)
-        self._follow_slots()
+        self._update_concurrency_limit()
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all transactions and connections."""
         self.transactions.close_all()
         await self.state.close()
 
     def set_spec(self, spec: GroupSpec) -> None:
-        """Follow a change of the declared group.
+        """Apply a changed group declaration.
 
         Args:
           spec: The new declaration.
         """
         self.state.set_spec(spec)
-        self._follow_slots()
+        self._update_concurrency_limit()
 
     def set_servers(self, servers: Sequence[ServerSpec]) -> None:
-        """Follow a change of the declared servers.
+        """Apply changed server declarations.
 
         Args:
           servers: The new declarations.
         """
         for name in self.state.set_servers(servers):
             self.transactions.close_on_server(name)
-        self._follow_slots()
+        self._update_concurrency_limit()
 
     def set_row(self, row: GroupRow, version: int) -> None:
-        """Take the group's row.
+        """Apply the group's row unless a newer one is known.
 
         Args:
           row: The row.
-          version: The change log's version that wrote it.
+          version: The change log version that wrote the row.
         """
         if self.state.set_row(row, version):
-            self._follow_slots()
+            self._update_concurrency_limit()
 
     def observe(
         self, report: ServerReport, sent_at: float, answered_at: float
     ) -> None:
-        """Take in the answer to a probe.
+        """Process the answer to a probe.
 
         Args:
-          report: What the server answered.
-          sent_at: When the probe was sent.
-          answered_at: When the answer came.
+          report: The state that the server reported.
+          sent_at: The time the probe was sent, in seconds on the monotonic
+            clock.
+          answered_at: The time the answer was received, in seconds on the
+            monotonic clock.
         """
         self.state.observe(report, sent_at, answered_at)
 
     async def execute(self, request: StatementRequest) -> StatementResult:
-        """Run a statement.
+        """Run a statement and return its result.
 
         Args:
-          request: The statement with its options.
+          request: The statement and its options.
         """
         deadline = self.state.clock() + request.deadline_ms / 1000
         self.in_flight += 1
@@ -163,23 +165,23 @@
             result = await self._dispatch(request, deadline)
         finally:
             self.in_flight -= 1
-            self.on_less_work()
+            self.on_work_finished()
         self._count(result)
         return result
 
     def tick(self, now: float) -> list[str]:
-        """Do what time asks for; return ids of closed transactions.
+        """Do periodic work; return the ids of transactions that it closed.
 
         Args:
-          now: The time on the monotonic clock.
+          now: The time in seconds on the monotonic clock.
         """
         self.state.apply_budget()
-        self._follow_slots()
+        self._update_concurrency_limit()
         closed = self.transactions.expire(now)
-        for server in self.state.drained_out():
+        for server in self.state.servers_past_drain_timeout():
             closed += self.transactions.close_on_server(server)
         if closed:
-            self.on_less_work()
+            self.on_work_finished()
         return closed
 
     async def _dispatch(
@@ -209,22 +211,22 @@
         return _request_rows(request.request_id, found.record)
 
     async def _position(self, request: StatementRequest) -> StatementResult:
-        """Return a position at or above what the session's last read saw."""
+        """Return a position that is not below the session's last read."""
         for server in (request.last_server, self.state.table.primary):
             control = self.state.controls.get(server)
             if control is None:
                 continue
             sent_at = self.state.clock()
-            report = await control.probe(PROBE_SECONDS)
+            report = await control.probe(PROBE_TIMEOUT_SECONDS)
             if not isinstance(report, ServerReport):
                 continue
             self.state.observe(report, sent_at, self.state.clock())
-            if self._bounds(report):
-                return ResultOk(position=_newest(report, request))
+            if self._is_on_current_branch(report):
+                return ResultOk(position=_later_position(report, request))
         detail = "the position of the last read is not known yet"
         return result_error(NotRun(NotRunReason.NO_SERVER, detail, 200))
 
-    def _bounds(self, report: ServerReport) -> bool:
+    def _is_on_current_branch(self, report: ServerReport) -> bool:
         branch = self.state.table.evidence.branch
         return report.term == branch.term and branch.contains(report.position)
 
@@ -232,8 +234,8 @@
         spec = self.classes.get(caller_class)
         return 1 if spec is None else spec.weight
 
-    def _follow_slots(self) -> None:
-        """Set the admission limit to this home's part of the slots."""
+    def _update_concurrency_limit(self) -> None:
+        """Set the admission limit to this home's share of the slots."""
         state = self.state
         row = state.row
         if row is None:
@@ -260,7 +262,9 @@
                 self.counters.unknown += 1
 
 
-def _newest(report: ServerReport, request: StatementRequest) -> Position:
+def _later_position(
+    report: ServerReport, request: StatementRequest
+) -> Position:
     if not request.token:
         return report.position
     token = Position.parse(request.token)
@@ -284,4 +288,4 @@
 
 
 def _do_nothing() -> None:
-    """Take no notice."""
+    """Do nothing."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/keyed_locks.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/keyed_locks.py
@@ -1,4 +1,4 @@
-"""Locks by name, kept only while they are used."""
+"""Locks by key, which exist only while they are in use."""
 
 import asyncio
 import contextlib
@@ -6,21 +6,22 @@
 
 
 class KeyedLocks:
-    """One lock for each key.
+    """A set of locks, one for each key.
 
     Attributes:
-      locks: The locks in use, with the number of their users.
+      locks: The locks in use by key, each with the number of tasks that hold
+        it or wait for it.
     """
 
     def __init__(self) -> None:
         self.locks: dict[str, tuple[asyncio.Lock, int]] = {}
 
     @contextlib.asynccontextmanager
-    async def hold(self, key: str) -> AsyncIterator[None]:
-        """Hold a key's lock.
+    async def acquire(self, key: str) -> AsyncIterator[None]:
+        """Hold the lock of a key for the duration of the context.
 
         Args:
-          key: The key.
+          key: The key to lock.
         """
         lock, users = self.locks.get(key, (asyncio.Lock(), 0))
         self.locks[key] = (lock, users + 1)
@@ -28,9 +29,9 @@
             async with lock:
                 yield
         finally:
-            self._leave(key)
+            self._release(key)
 
-    def _leave(self, key: str) -> None:
+    def _release(self, key: str) -> None:
         lock, users = self.locks[key]
         if users == 1:
             del self.locks[key]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
@@ -1,4 +1,4 @@
-"""Deletes request records that have expired."""
+"""Deletion of expired request records."""
 
 import time
 
@@ -15,41 +15,41 @@
     expired_before,
 )
 
-EXPIRY_SECONDS = 300.0
-STATEMENT_SECONDS = 10.0
+EXPIRY_INTERVAL_SECONDS = 300.0
+STATEMENT_TIMEOUT_SECONDS = 10.0
 
 
 class RecordExpiry:
-    """Deletes a group's expired request records on its primary.
+    """Periodically deletes a group's expired request records.
 
     Attributes:
-      state: The group.
-      runner: Takes connections.
-      due_at: When to look next, on the monotonic clock.
+      state: The state of the group.
+      runner: Acquires connections to the primary.
+      due_at: The time of the next run in seconds on the monotonic clock.
     """
 
     def __init__(self, state: GroupState, runner: StatementRunner) -> None:
         self.state = state
         self.runner = runner
-        self.due_at = state.clock() + EXPIRY_SECONDS
+        self.due_at = state.clock() + EXPIRY_INTERVAL_SECONDS
 
     def is_due(self, now: float) -> bool:
-        """Return whether to look now, and plan the next time.
+        """Return whether a run is due, and if so schedule the next one.
 
         Args:
-          now: The time on the monotonic clock.
+          now: The time in seconds on the monotonic clock.
         """
         if now < self.due_at:
             return False
-        self.due_at = now + EXPIRY_SECONDS
+        self.due_at = now + EXPIRY_INTERVAL_SECONDS
         return True
 
     async def run(self) -> int:
-        """Delete one slice of expired records; return how many it held."""
+        """Delete one batch of expired records; return the number deleted."""
         primary = self.state.primary()
         if primary is None:
             return 0
-        deadline = self.state.clock() + STATEMENT_SECONDS
+        deadline = self.state.clock() + STATEMENT_TIMEOUT_SECONDS
         link = await self.runner.acquire(primary.server, (), deadline)
         if isinstance(link, NotStarted):
             return 0
@@ -59,7 +59,7 @@
             self.state.pools[primary.server].release(link)
 
     async def _delete(self, link: ServerLink) -> int:
-        answer = await link.run(SELECT_OLDEST, STATEMENT_SECONDS)
+        answer = await link.run(SELECT_OLDEST, STATEMENT_TIMEOUT_SECONDS)
         if not isinstance(answer, RowsAnswer) or not answer.rows:
             return 0
         oldest = answer.rows[0][0]
@@ -68,5 +68,7 @@
         )
         if bound is None:
             return 0
-        deleted = await link.run(DELETE_EXPIRED % bound, STATEMENT_SECONDS)
+        deleted = await link.run(
+            DELETE_EXPIRED % bound, STATEMENT_TIMEOUT_SECONDS
+        )
         return deleted.affected_rows if isinstance(deleted, OkAnswer) else 0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
@@ -1,4 +1,4 @@
-"""Transactions that sessions have open on a home proxy."""
+"""Open transactions of sessions on a home proxy."""
 
 import asyncio
 import collections
@@ -51,19 +51,26 @@
 )
 
 ROLLED_BACK_CODES = frozenset({1205, 1213, 1290, 3024})
-ROLLBACK_SECONDS = 1.0
+ROLLBACK_TIMEOUT_SECONDS = 1.0
 NO_SERVER_RETRY_MS = 200
 MAX_CLOSED_KEPT = 10_000
 
 
 class Transactions:
-    """Opens, serves and ends transactions.
+    """Opens, runs and ends transactions.
 
     Attributes:
-      state: The group.
+      state: The state of the group.
+      gate: Admits statements to the group.
+      runner: Acquires connections.
+      acknowledger: Validates the primary's answers.
+      records: The request records of the group.
+      counters: The statement counters of the group.
       open: The open transactions by id.
-      closed: The newest transactions that this home closed by itself.
-      opening: Keeps one transaction from being opened twice.
+      closed: The ids of the transactions that this home closed without a
+        request of the session, oldest first, at most MAX_CLOSED_KEPT.
+      opening: Locks by transaction id, so that concurrent first statements
+        open a transaction only once.
     """
 
     def __init__(
@@ -90,29 +97,29 @@
     async def run(
         self, request: StatementRequest, weight: int, deadline: float
     ) -> StatementResult:
-        """Run a statement of a transaction, opening it if need be.
+        """Run a statement of a transaction, which is opened if necessary.
 
         Args:
-          request: The statement with its options.
-          weight: The caller class's weight.
-          deadline: When the caller gives up, on the monotonic clock.
+          request: The statement and its options.
+          weight: The weight of the caller class.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
-        async with self.opening.hold(request.transaction_id):
+        async with self.opening.acquire(request.transaction_id):
             transaction = self.open.get(request.transaction_id)
             if transaction is None:
                 return await self._open_and_run(request, weight, deadline)
-        ticket = self.gate.enter_at_once(request.caller)
+        slot = self.gate.enter_over_limit(request.caller)
         try:
             async with transaction.lock:
                 return await self._serve(transaction, request, deadline)
         finally:
-            self.gate.leave(ticket)
+            self.gate.leave(slot)
 
     async def end_session(self, session_id: str) -> None:
-        """Roll back whatever a session has open.
+        """Roll back the open transactions of a session.
 
         Args:
-          session_id: The session.
+          session_id: The id of the session.
         """
         for transaction in tuple(self.open.values()):
             if transaction.session_id == session_id:
@@ -122,17 +129,17 @@
         """Close the transactions of all sessions of a lost entry proxy.
 
         Args:
-          prefix: What the ids of its sessions begin with.
+          prefix: The common prefix of the session ids of the entry proxy.
         """
         for transaction in tuple(self.open.values()):
             if transaction.session_id.startswith(prefix):
                 self._close(transaction)
 
     def expire(self, now: float) -> list[str]:
-        """Close transactions that are open for too long; return their ids.
+        """Close transactions past their timeout; return their ids.
 
         Args:
-          now: The time on the monotonic clock.
+          now: The time in seconds on the monotonic clock.
         """
         limit = self.state.spec.transaction_timeout_ms / 1000
         expired = [t for t in self.open.values() if now - t.opened_at > limit]
@@ -144,7 +151,7 @@
         """Close the transactions on a server; return their ids.
 
         Args:
-          server: The server's name.
+          server: The name of the server.
         """
         found = [t for t in self.open.values() if t.primary.server == server]
         for transaction in found:
@@ -163,12 +170,12 @@
             return ResultOk()
         closed = request.transaction_id in self.closed
         if closed or request.begun or request.kind is StatementKind.COMMIT:
-            return lost_transaction("this proxy does not hold it")
-        ticket = await self.gate.enter(
+            return lost_transaction("it is not open on this proxy")
+        slot = await self.gate.enter(
             request.caller, request.caller_class, weight, deadline
         )
-        if isinstance(ticket, NotRun):
-            return result_error(ticket)
+        if isinstance(slot, NotRun):
+            return result_error(slot)
         try:
             transaction = await self._begin(request, deadline)
             if isinstance(transaction, NotRun):
@@ -176,7 +183,7 @@
             async with transaction.lock:
                 return await self._serve(transaction, request, deadline)
         finally:
-            self.gate.leave(ticket)
+            self.gate.leave(slot)
 
     async def _begin(
         self, request: StatementRequest, deadline: float
@@ -192,7 +199,7 @@
                 return NotRun(
                     NotRunReason.NO_SERVER, link.detail, NO_SERVER_RETRY_MS
                 )
-            if self.runner.still_open(primary.server, primary.term):
+            if self.runner.is_current_primary(primary.server, primary.term):
                 break
             self.state.pools[primary.server].release(link)
         link.dirty = True
@@ -206,7 +213,7 @@
                 self.state.link_finished(link)
                 self.state.pools[primary.server].release(link)
         if not isinstance(answer, OkAnswer):
-            detail = f"no transaction could be opened: {answer}"
+            detail = f"could not open a transaction: {answer}"
             return NotRun(NotRunReason.NO_SERVER, detail, NO_SERVER_RETRY_MS)
         transaction = OpenTransaction(
             request.transaction_id,
@@ -233,12 +240,14 @@
                 case StatementKind.ROLLBACK:
                     return await self._roll_back(transaction)
                 case _:
-                    return await self._statement(transaction, request, deadline)
+                    return await self._run_statement(
+                        transaction, request, deadline
+                    )
         except asyncio.CancelledError:
             self._close(transaction)
             raise
 
-    async def _statement(
+    async def _run_statement(
         self,
         transaction: OpenTransaction,
         request: StatementRequest,
@@ -256,12 +265,12 @@
             return lost_transaction(answer.detail)
         if isinstance(answer, ErrorAnswer):
             return await self._statement_failed(transaction, answer)
-        if not await self._rows_stand(transaction, answer, deadline):
+        if not await self._are_rows_valid(transaction, answer, deadline):
             self._close(transaction)
             return lost_transaction("the primary was replaced")
         primary = transaction.primary
         result = result_from_answer(answer, primary.server, primary.term)
-        return self._still_open(transaction, result)
+        return self._mark_in_transaction(transaction, result)
 
     async def _statement_failed(
         self, transaction: OpenTransaction, answer: ErrorAnswer
@@ -270,9 +279,9 @@
         if answer.code in ROLLED_BACK_CODES:
             await self._roll_back(transaction)
             return result
-        return self._still_open(transaction, result)
+        return self._mark_in_transaction(transaction, result)
 
-    async def _rows_stand(
+    async def _are_rows_valid(
         self,
         transaction: OpenTransaction,
         answer: LinkAnswer,
@@ -284,7 +293,7 @@
         verdict = await self.acknowledger.read(
             primary.server, primary.term, deadline
         )
-        return verdict is ReadVerdict.STANDS
+        return verdict is ReadVerdict.VALID
 
     async def _commit(
         self,
@@ -293,19 +302,23 @@
         deadline: float,
     ) -> StatementResult:
         if request.request_id:
-            recorded = await self._record(transaction, request, deadline)
+            recorded = await self._record_request_id(
+                transaction, request, deadline
+            )
             if recorded is not None:
                 return recorded
         answer = await transaction.link.run(
             "COMMIT", self.runner.remaining(deadline)
         )
-        outcome = await self._judge_commit(transaction, answer, deadline)
+        outcome = await self._evaluate_commit(transaction, answer, deadline)
         self._finish(transaction)
         if isinstance(outcome, ResultError) and request.request_id:
-            return await self._settle(transaction, outcome, request, deadline)
+            return await self._resolve_unknown(
+                transaction, outcome, request, deadline
+            )
         return outcome
 
-    async def _judge_commit(
+    async def _evaluate_commit(
         self,
         transaction: OpenTransaction,
         answer: LinkAnswer,
@@ -340,19 +353,19 @@
         verdict = await self.acknowledger.read(
             primary.server, primary.term, deadline
         )
-        if verdict is ReadVerdict.STANDS:
+        if verdict is ReadVerdict.VALID:
             return Done()
         return Failed(
             ROLLED_BACK_CODE, ROLLED_BACK_STATE, "the primary was replaced"
         )
 
-    async def _record(
+    async def _record_request_id(
         self,
         transaction: OpenTransaction,
         request: StatementRequest,
         deadline: float,
     ) -> StatementResult | None:
-        """Record the request id; return a result if that ends it all."""
+        """Record the request id; return a result if the transaction ended."""
         answer = await self.records.insert_for_commit(
             transaction.link, request.request_id, deadline
         )
@@ -363,24 +376,26 @@
             self.counters.repeats += 1
             found = await self.records.look_up(request.request_id, deadline)
             if isinstance(found, NotRun) or found.record is None:
-                return result_error(Unknown("its record was not found"))
+                return result_error(Unknown("the request record was not found"))
             return ResultOk()
-        return lost_transaction(f"its request id was not recorded: {answer}")
+        return lost_transaction(
+            f"its request id could not be recorded: {answer}"
+        )
 
-    async def _settle(
+    async def _resolve_unknown(
         self,
         transaction: OpenTransaction,
-        doubt: ResultError,
+        unknown_result: ResultError,
         request: StatementRequest,
         deadline: float,
     ) -> StatementResult:
-        if doubt.outcome is not StatementOutcome.UNKNOWN:
-            return doubt
-        found = await self.records.settle(
+        if unknown_result.outcome is not StatementOutcome.UNKNOWN:
+            return unknown_result
+        found = await self.records.resolve(
             request.request_id, transaction.primary.term, deadline
         )
         if found is None:
-            return doubt
+            return unknown_result
         if found.record is None:
             return lost_transaction("the primary was replaced")
         return ResultOk()
@@ -389,14 +404,20 @@
         if self.open.get(transaction.transaction_id) is not transaction:
             return ResultOk()
         if transaction.link.usable:
-            answer = await transaction.link.run("ROLLBACK", ROLLBACK_SECONDS)
+            answer = await transaction.link.run(
+                "ROLLBACK", ROLLBACK_TIMEOUT_SECONDS
+            )
             if not isinstance(answer, OkAnswer):
                 transaction.link.close()
         self._finish(transaction)
         return ResultOk()
 
     def _close(self, transaction: OpenTransaction) -> None:
-        """Close a transaction that its session may still take for open."""
+        """Close a transaction without a request of its session.
+
+        The id is kept, so that later statements of the session are refused and
+        do not open a new transaction.
+        """
         self.closed[transaction.transaction_id] = None
         while len(self.closed) > MAX_CLOSED_KEPT:
             self.closed.popitem(last=False)
@@ -409,7 +430,7 @@
             pool = self.state.pools[transaction.primary.server]
             pool.release(transaction.link)
 
-    def _still_open(
+    def _mark_in_transaction(
         self, transaction: OpenTransaction, result: StatementResult
     ) -> StatementResult:
         return attrs.evolve(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
@@ -1,4 +1,4 @@
-"""The way of a write outside a transaction."""
+"""Execution of writes outside transactions."""
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
@@ -51,12 +51,12 @@
     """Runs writes on the primary and acknowledges them.
 
     Attributes:
-      state: The group.
-      gate: The group's admission.
+      state: The state of the group.
+      gate: Admits statements to the group.
       runner: Runs statements.
-      acknowledger: Judges commits.
-      records: The group's request records.
-      counters: Counts outcomes.
+      acknowledger: Validates commits.
+      records: The request records of the group.
+      counters: The statement counters of the group.
     """
 
     def __init__(
@@ -81,27 +81,27 @@
         """Run a write and return its result.
 
         Args:
-          request: The statement with its options.
-          weight: The caller class's weight.
-          deadline: When the caller gives up, on the monotonic clock.
+          request: The statement and its options.
+          weight: The weight of the caller class.
+          deadline: The caller's deadline in seconds on the monotonic clock.
         """
         opened = await self.state.wait_for_primary(deadline)
         if isinstance(opened, NotRun):
             return result_error(opened)
-        ticket = await self.gate.enter(
+        slot = await self.gate.enter(
             request.caller, request.caller_class, weight, deadline
         )
-        if isinstance(ticket, NotRun):
-            return result_error(ticket)
+        if isinstance(slot, NotRun):
+            return result_error(slot)
         try:
-            return await self._attempts(request, deadline)
+            return await self._run_with_retries(request, deadline)
         finally:
-            self.gate.leave(ticket)
+            self.gate.leave(slot)
 
-    async def _attempts(
+    async def _run_with_retries(
         self, request: StatementRequest, deadline: float, attempt: int = 0
     ) -> StatementResult:
-        """Run a write, again only where that can't make it run twice."""
+        """Run a write; retry only where it cannot take effect twice."""
         while True:
             attempt += 1
             primary = await self.state.wait_for_primary(deadline)
@@ -114,11 +114,11 @@
             answer = await self.runner.run(
                 primary.server, request, deadline, primary.term
             )
-            if isinstance(answer, NotStarted) and self._moved(primary):
+            if isinstance(answer, NotStarted) and self._is_superseded(primary):
                 continue
-            again = request.repeatable and attempt < MAX_ATTEMPTS
-            if not _was_rolled_back(answer) or not again:
-                return await self._judge(answer, primary, deadline)
+            retry = request.repeatable and attempt < MAX_ATTEMPTS
+            if not _was_rolled_back(answer) or not retry:
+                return await self._evaluate_answer(answer, primary, deadline)
             await self._wait_for_change(primary, deadline)
 
     async def _wait_for_change(
@@ -128,7 +128,7 @@
             remaining = max(0.0, deadline - self.state.clock())
             await self.state.term_changed.wait(min(1.0, remaining))
 
-    async def _judge(
+    async def _evaluate_answer(
         self,
         answer: LinkAnswer | NotStarted,
         primary: OpenPrimary,
@@ -154,15 +154,17 @@
     async def _verdict(
         self, position: Position | None, primary: OpenPrimary, deadline: float
     ) -> Done | Failed | Unknown:
-        """Acknowledge a commit, or an answer that changed nothing."""
+        """Validate a commit, or an answer without a commit position."""
         if position is not None:
             return await self.acknowledger.write(position, deadline)
         verdict = await self.acknowledger.read(
             primary.server, primary.term, deadline
         )
-        if verdict is ReadVerdict.STANDS:
+        if verdict is ReadVerdict.VALID:
             return Done()
-        return Unknown("the primary was replaced before it had answered")
+        return Unknown(
+            "the primary was replaced before its answer was validated"
+        )
 
     async def _run_recorded(
         self,
@@ -175,62 +177,62 @@
             primary.server, request.setup, deadline
         )
         if isinstance(link, NotStarted):
-            return await self._judge(link, primary, deadline)
-        if self._moved(primary):
+            return await self._evaluate_answer(link, primary, deadline)
+        if self._is_superseded(primary):
             self.state.pools[primary.server].release(link)
-            return await self._attempts(request, deadline, attempt)
+            return await self._run_with_retries(request, deadline, attempt)
         implicit = _commits_itself(
             request.sql.decode("utf-8", "surrogateescape")
         )
         self.state.link_started(link, primary.term)
         try:
-            finish = await self.records.execute(
+            execution_result = await self.records.execute(
                 link, request, implicit, deadline
             )
         finally:
             self.state.link_finished(link)
             self.state.pools[primary.server].release(link)
-        if isinstance(finish, Executed):
-            return await self._judge_executed(
-                finish, primary, request, deadline, attempt
+        if isinstance(execution_result, Executed):
+            return await self._evaluate_executed(
+                execution_result, primary, request, deadline, attempt
             )
-        if isinstance(finish, Unknown):
-            return await self._settle(
-                finish, primary, request, deadline, attempt
+        if isinstance(execution_result, Unknown):
+            return await self._resolve_unknown(
+                execution_result, primary, request, deadline, attempt
             )
-        again = request.repeatable and attempt < MAX_ATTEMPTS
-        if again and self._runs_elsewhere(finish, primary):
-            result = await self._attempts(request, deadline, attempt)
-            was_sent = isinstance(finish, Failed)
+        retry = request.repeatable and attempt < MAX_ATTEMPTS
+        if retry and self._may_retry(execution_result, primary):
+            result = await self._run_with_retries(request, deadline, attempt)
+            was_sent = isinstance(execution_result, Failed)
             if was_sent and _is_refusal(result):
-                return result_error(finish)
+                return result_error(execution_result)
             return result
-        return result_error(finish)
+        return result_error(execution_result)
 
-    async def _judge_executed(
+    async def _evaluate_executed(
         self,
-        finish: Executed,
+        execution_result: Executed,
         primary: OpenPrimary,
         request: StatementRequest,
         deadline: float,
         attempt: int,
     ) -> StatementResult:
-        position = finish.position
+        position = execution_result.position
         verdict = await self._verdict(position, primary, deadline)
         if isinstance(verdict, Unknown):
-            return await self._settle(
+            return await self._resolve_unknown(
                 verdict, primary, request, deadline, attempt
             )
         if not isinstance(verdict, Done):
             return result_error(verdict)
-        if finish.repeated:
+        if execution_result.repeated:
             self.counters.repeats += 1
-            position = await self._bound_of_repeat(primary)
+            position = await self._replay_position(primary)
         self.counters.writes += 1
-        return _ok(finish.result, position, primary.server)
+        return _ok(execution_result.result, position, primary.server)
 
-    async def _bound_of_repeat(self, primary: OpenPrimary) -> Position | None:
-        """Return a position at or above a write that an earlier run made."""
+    async def _replay_position(self, primary: OpenPrimary) -> Position | None:
+        """Return a position that is not below an earlier run's commit."""
         evidence = self.state.table.evidence
         sent_at = self.state.clock()
         report = await self.state.controls[primary.server].probe(1.0)
@@ -240,67 +242,67 @@
         self.state.observe(report, sent_at, self.state.clock())  # type: ignore[arg-type]
         return Position(position.term, position.offset)
 
-    async def _settle(
+    async def _resolve_unknown(
         self,
-        doubt: Unknown,
-        sent_to: OpenPrimary,
+        unknown_result: Unknown,
+        original_primary: OpenPrimary,
         request: StatementRequest,
         deadline: float,
         attempt: int,
     ) -> StatementResult:
-        """Find out what became of a write whose answer was lost.
+        """Determine the outcome of a write whose answer was lost.
 
-        Where it may run again it does so under the same request id, whose
-        unique key lets one of the two commit.
+        A repeatable write is retried with the same request id. The unique key
+        on the request id lets only one of the runs commit.
         """
         if request.repeatable and attempt < MAX_ATTEMPTS:
-            again = await self._attempts(request, deadline, attempt)
-            return result_error(doubt) if _is_refusal(again) else again
-        found = await self.records.settle(
-            request.request_id, sent_to.term, deadline
+            retry = await self._run_with_retries(request, deadline, attempt)
+            return result_error(unknown_result) if _is_refusal(retry) else retry
+        found = await self.records.resolve(
+            request.request_id, original_primary.term, deadline
         )
         if found is None:
-            return result_error(doubt)
+            return result_error(unknown_result)
         if found.record is not None and not found.record.is_finished:
-            return result_error(doubt)
+            return result_error(unknown_result)
         if found.record is None:
-            detail = "the primary was replaced and did not keep the write"
+            detail = "the write was lost when the primary was replaced"
             return result_error(
                 Failed(LOST_WRITE_CODE, LOST_WRITE_STATE, detail)
             )
         primary = self.state.primary()
         position = None
         if primary is not None:
-            position = await self._bound_of_repeat(primary)
+            position = await self._replay_position(primary)
         self.counters.writes += 1
         return _ok(found.record.result, position, "")
 
-    def _moved(self, primary: OpenPrimary) -> bool:
-        """Return whether a primary may not get work any more."""
-        return not self.runner.still_open(primary.server, primary.term)
+    def _is_superseded(self, primary: OpenPrimary) -> bool:
+        """Return whether a primary no longer accepts statements."""
+        return not self.runner.is_current_primary(primary.server, primary.term)
 
-    def _runs_elsewhere(
-        self, finish: NotRun | Failed, primary: OpenPrimary
+    def _may_retry(
+        self, execution_result: NotRun | Failed, primary: OpenPrimary
     ) -> bool:
-        """Return whether a write left no effect and may find a way now."""
-        if isinstance(finish, NotRun):
-            return finish.reason is NotRunReason.NO_PRIMARY
-        if finish.code == CONNECTION_LOST_CODE:
+        """Return whether a write had no effect and a retry may succeed."""
+        if isinstance(execution_result, NotRun):
+            return execution_result.reason is NotRunReason.NO_PRIMARY
+        if execution_result.code == CONNECTION_LOST_CODE:
             return True
         current = self.state.primary()
         later = current is not None and current.term > primary.term
-        return later and finish.code == READ_ONLY_CODE
+        return later and execution_result.code == READ_ONLY_CODE
 
 
 def _is_refusal(result: StatementResult) -> bool:
-    """Return whether a result says that this attempt did not run."""
+    """Return whether a result states that the attempt did not run."""
     if not isinstance(result, ResultError):
         return False
     return result.outcome is StatementOutcome.NOT_RUN
 
 
 def _commits_itself(sql: str) -> bool:
-    """Return whether a statement may commit by itself, as DDL does."""
+    """Return whether a statement may commit implicitly, as DDL does."""
     kind = classify(sql).kind
     return kind is FrontKind.IMPLICIT_COMMIT or first_word(sql) == "call"
 
--- a/packages/jackdawcrank-proxy/tests/execution/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/execution/conftest.py
@@ -1,4 +1,4 @@
-"""A home group over a small fake of its backend server."""
+"""A home group connected to a fake of its backend servers."""
 
 import asyncio
 import collections
@@ -48,7 +48,7 @@
 
 
 def step_of(sql: str) -> str:
-    """Return which step of an execution a statement belongs to."""
+    """Return the execution step that a statement belongs to."""
     if "jackdawcrank_requests" in sql:
         word = sql.split()[0].lower()
         return {"insert": "insert", "update": "record"}.get(word, word)
@@ -63,16 +63,19 @@
 
 @attrs.define
 class FakeBackend:
-    """The servers of a group, which share one log.
+    """A fake of the servers of a group, which share one log.
 
     Attributes:
-      script: What becomes of the next statements of a step.
-      hooks: What happens while a statement of a step runs.
-      sent: The connection and text of each statement that left the proxy.
+      clock: Returns the time in seconds.
+      term: The current term.
+      offset: The offset of the last commit.
+      script: The scripted responses to the next statements by step.
+      hooks: Functions that are called when a statement runs, by step.
+      sent: The connection and text of each statement that the proxy sent.
       refused: The statements that were answered with error 1290.
-      committed: The statements that stand.
+      committed: The committed statements.
       records: The digests and results of recorded requests.
-      links: Every connection that was opened.
+      links: All connections that were opened.
     """
 
     clock: Callable[[], float]
@@ -87,21 +90,21 @@
     links: list["FakeLink"] = attrs.field(factory=list)
 
     def texts(self, step: str) -> list[str]:
-        """Return the sent statements of a step."""
+        """Return the texts of the statements sent for a step."""
         return [sql for _, sql in self.sent if step_of(sql) == step]
 
-    def plan(self, step: str, *fates: str) -> None:
-        """Say what becomes of the next statements of a step."""
-        self.script[step] = collections.deque(fates)
+    def set_responses(self, step: str, *responses: str) -> None:
+        """Set the responses to the next statements of a step."""
+        self.script[step] = collections.deque(responses)
 
-    def fate(self, step: str) -> str:
-        """Return what becomes of a statement of a step."""
-        planned = self.script.get(step)
-        return planned.popleft() if planned else "ok"
+    def response(self, step: str) -> str:
+        """Return the next response for a step."""
+        queued = self.script.get(step)
+        return queued.popleft() if queued else "ok"
 
 
 class FakeLink(ServerLink):
-    """One connection to the fake."""
+    """A connection to the fake backend."""
 
     def __init__(self, server: str, backend: FakeBackend) -> None:
         super().__init__(server, None)
@@ -144,29 +147,32 @@
 
     async def serve(self, sql: str) -> LinkAnswer:
         step = step_of(sql)
-        fate = self.backend.fate(step)
-        if fate == "lost_before_sent":
+        response = self.backend.response(step)
+        if response == "lost_before_sent":
             self.close()
             return LostAnswer(False, "lost before sent")
         self.backend.sent.append((self, sql))
         self.backend.hooks.get(step, lambda: None)()
         await asyncio.sleep(ANSWER_SECONDS)
-        if fate == "hang":
+        if response == "hang":
             await asyncio.sleep(math.inf)
-        if fate in ERRORS:
-            if fate == "1290":
+        if response in ERRORS:
+            if response == "1290":
                 self.backend.refused.append(sql)
                 self.roll_back()
-            return ErrorAnswer(ERRORS[fate], "HY000", fate)
-        if fate == "lost_midway":
+            return ErrorAnswer(ERRORS[response], "HY000", response)
+        if response == "lost_midway":
             self.commit()
-        if fate.startswith(("lost_without", "lost_midway")) or not self.usable:
+        if (
+            response.startswith(("lost_without", "lost_midway"))
+            or not self.usable
+        ):
             self.close()
-            return LostAnswer(True, fate)
+            return LostAnswer(True, response)
         answer = self.apply(step, sql)
-        if fate == "lost_with_effect":
+        if response == "lost_with_effect":
             self.close()
-            return LostAnswer(True, fate)
+            return LostAnswer(True, response)
         return answer
 
     def apply(self, step: str, sql: str) -> LinkAnswer:
@@ -238,8 +244,8 @@
 
 
 @attrs.define
-class World:
-    """A home group over the fake, with its lease under control."""
+class GroupHarness:
+    """A home group on the fake backend, with a controllable lease."""
 
     backend: FakeBackend
     group: HomeGroup
@@ -247,7 +253,7 @@
     versions: Any = attrs.field(factory=lambda: itertools.count(1))
 
     def set_lease(self, state: str) -> None:
-        """Hold, let lapse or close the lease."""
+        """Set the lease to held, lapsed or closed."""
         self.leases.renewed_at = math.inf if state == "held" else -math.inf
         if state == "closed":
             self.close_term()
@@ -258,7 +264,7 @@
         self.group.set_row(row, version)
 
     def close_term(self) -> None:
-        """Begin a promotion."""
+        """Start a promotion, which closes the term."""
         self.set_row(row_of(2, 0, GroupPhase.PREPARING))
 
     def open_term(self, kept: bool = True) -> None:
@@ -277,13 +283,13 @@
             kind.value.upper(), kind=kind, transaction_id="t1"
         )
 
-    def check_at_rest(self) -> None:
-        """Assert that nothing is held and nothing is left on connections."""
+    def assert_idle(self) -> None:
+        """Assert that all slots, transactions and connections are released."""
         state = self.group.state
         assert self.group.transactions.open == {}
         assert state.busy_links == {}
         assert self.group.gate.admission.running == {}
-        assert self.group.gate.waiting == {}
+        assert self.group.gate.waiters == {}
         assert self.group.in_flight == 0
         assert state.failover_waiters == 0
         for pool in state.pools.values():
@@ -302,12 +308,12 @@
     return "done"
 
 
-Scenario = Callable[[World], Awaitable[Any]]
+Scenario = Callable[[GroupHarness], Awaitable[Any]]
 
 
 @pytest.fixture
-def play(monkeypatch: pytest.MonkeyPatch) -> Callable[..., Any]:
-    """Return a function that runs a scenario on virtual time."""
+def run_scenario(monkeypatch: pytest.MonkeyPatch) -> Callable[..., Any]:
+    """Return a function that runs a scenario in virtual time."""
 
     async def run(scenario: Scenario, spec: GroupSpec) -> Any:
         loop = asyncio.get_running_loop()
@@ -332,21 +338,23 @@
             lambda server, why: None,
         )
         group.start([ServerSpec(n, GROUP, "127.0.0.1", 1) for n in SERVERS])
-        world = World(backend, group, leases)
-        world.set_row(row_of(1, 0, GroupPhase.ACTIVE))
+        harness = GroupHarness(backend, group, leases)
+        harness.set_row(row_of(1, 0, GroupPhase.ACTIVE))
         await asyncio.sleep(0.1)
         try:
-            result = await scenario(world)
+            result = await scenario(harness)
             await asyncio.sleep(0.5)
-            world.check_at_rest()
+            harness.assert_idle()
             return result
         finally:
             await group.close()
 
-    def play_one(scenario: Scenario, spec: GroupSpec | None = None) -> Any:
+    def run_on_virtual_time(
+        scenario: Scenario, spec: GroupSpec | None = None
+    ) -> Any:
         return run_virtual(run(scenario, spec or GroupSpec(GROUP)))
 
-    return play_one
+    return run_on_virtual_time
 
 
 @pytest.fixture
