--- a/packages/jackdawcrank-cli/tests/conftest.py
+++ b/packages/jackdawcrank-cli/tests/conftest.py
@@ -153,7 +153,7 @@
         else:
             faults.start()
             for ports in self.ports:
-                ports.store.channel.breaker.succeeded()
+                ports.store.channel.breaker.record_success()
 
     async def replay(self, session: str) -> str:
         """Run a session again and return what it looks like now."""
@@ -202,7 +202,7 @@
 
 def make_ports(platform: Platform, vm: str, wall: Callable[[], float]) -> Ports:
     rng = random.Random(vm)
-    limits = StoreLimits(per_second=1e6, burst=1e6, retry_seconds=0.0)
+    limits = StoreLimits(per_second=1e6, burst=1e6, retry_delay_seconds=0.0)
     store = StoreClient(platform.url, rng=rng, limits=limits)
     follower = ConfigurationFollower(store, ManualTimer(), rng=rng)
     log = ChangeLog(store, rng=rng, wall_clock=wall, append_seconds=0.3)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/config/compactor.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/config/compactor.py
@@ -107,7 +107,7 @@
             return False
         name = f"{SNAPSHOT_PREFIX}{change_key(snapshot.version)}-{new_id()}"
         data = encode_snapshot(snapshot)
-        written = await self.store.put_object(name, data, only_new=True)
+        written = await self.store.put_object(name, data, create_only=True)
         if not isinstance(written, ObjectWritten):
             return False
         truncated = await self.truncate_log(head, name, snapshot.version)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/quick_group_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/quick_group_rows.py
@@ -10,7 +10,7 @@
     StoreUnavailable,
 )
 from jackdawcrank.store.group_row_codec import encode_group_row
-from jackdawcrank.store.group_rows import GroupRows, row_in
+from jackdawcrank.store.group_rows import GroupRows, decode_optional_row
 from jackdawcrank.store.head import HEAD, Head, read_head
 from jackdawcrank.store.outcome import Committed, Row
 from jackdawcrank.store.outcome import StoreUnavailable as NoAnswer
@@ -66,9 +66,9 @@
     ) -> Stored | Conflict | StoreUnavailable:
         """Compare-and-set a group's row together with the log's head."""
         base = self.bases.pop(new.group, None)
-        if base is None or row_in(base.present) != expected:
+        if base is None or decode_optional_row(base.present) != expected:
             base = await self.look(new.group)
-        if base is None or row_in(base.present) != expected:
+        if base is None or decode_optional_row(base.present) != expected:
             return await self.rows.claim(expected, new)
         version = base.head.version + 1
         if await self.attempt(base, new):
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/breaker.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/breaker.py
@@ -4,9 +4,9 @@
 
 import attrs
 
-FAILURES_TO_OPEN = 4
-FIRST_PAUSE_SECONDS = 0.5
-MAX_PAUSE_SECONDS = 5.0
+FAILURE_THRESHOLD = 4
+INITIAL_OPEN_SECONDS = 0.5
+MAX_OPEN_SECONDS = 5.0
 
 
 @attrs.define
@@ -19,37 +19,37 @@
       rng: The source of the pauses' jitter.
       failures: Failures in a row.
       open_until: When the next try may be made.
-      trying: Whether the single try after a pause is under way.
+      probe_in_flight: Whether the single try after a pause is under way.
     """
 
     rng: random.Random
     failures: int = 0
     open_until: float = 0.0
-    trying: bool = False
+    probe_in_flight: bool = False
 
-    def allows(self, now: float) -> bool:
+    def allow_request(self, now: float) -> bool:
         """Return whether a request may be sent, and count it as sent."""
-        if self.failures < FAILURES_TO_OPEN:
+        if self.failures < FAILURE_THRESHOLD:
             return True
-        if now < self.open_until or self.trying:
+        if now < self.open_until or self.probe_in_flight:
             return False
-        self.trying = True
+        self.probe_in_flight = True
         return True
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record an answer."""
-        self.failures, self.trying = 0, False
+        self.failures, self.probe_in_flight = 0, False
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record that no usable answer came."""
         self.failures += 1
-        self.trying = False
-        rounds = self.failures - FAILURES_TO_OPEN
-        if rounds >= 0:
-            ceiling = FIRST_PAUSE_SECONDS * 2 ** min(rounds, 10)
-            pause = self.rng.uniform(0, min(ceiling, MAX_PAUSE_SECONDS))
+        self.probe_in_flight = False
+        extra_failures = self.failures - FAILURE_THRESHOLD
+        if extra_failures >= 0:
+            ceiling = INITIAL_OPEN_SECONDS * 2 ** min(extra_failures, 10)
+            pause = self.rng.uniform(0, min(ceiling, MAX_OPEN_SECONDS))
             self.open_until = now + pause
 
-    def abandoned(self) -> None:
+    def record_cancellation(self) -> None:
         """Record that a request was given up without a verdict."""
-        self.trying = False
+        self.probe_in_flight = False
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_log.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_log.py
@@ -29,12 +29,12 @@
     Transaction,
 )
 from jackdawcrank.store.write import (
-    Expectation,
+    RowPrecondition,
     Write,
-    already_so,
-    at_version,
+    already_applied,
     resource_version,
     transaction_for,
+    version_precondition,
 )
 from jackdawcrank_policy.configuration import Change, Kind
 
@@ -86,13 +86,13 @@
           actor: Who makes the change.
         """
         write = Write(kind, name, body, actor, self.new_token())
-        return await self.run(write, at_version(expected))
+        return await self.run(write, version_precondition(expected))
 
     async def append_group_row(
         self,
         name: str,
         body: Mapping[str, Any],
-        expected: Expectation,
+        expected: RowPrecondition,
         actor: str,
     ) -> AppendOutcome:
         """Change a group's row if it is as expected."""
@@ -101,21 +101,23 @@
         write = Write(Kind.GROUP_ROW, name, body, actor, token)
         return await self.run(write, expected)
 
-    async def run(self, write: Write, expected: Expectation) -> AppendOutcome:
+    async def run(
+        self, write: Write, expected: RowPrecondition
+    ) -> AppendOutcome:
         """Append a write, trying again until its time has run out."""
         deadline = self.clock() + self.append_seconds
         outcome: AppendOutcome | None = None
         attempt = 0
         while outcome is None:
             outcome = await self.attempt(write, expected, deadline)
-            if outcome is None and not await self.paused(attempt, deadline):
+            if outcome is None and not await self.back_off(attempt, deadline):
                 detail = "other changes kept coming first"
                 outcome = StoreUnavailable(False, detail)
             attempt += 1
         return outcome
 
     async def attempt(
-        self, write: Write, expected: Expectation, deadline: float
+        self, write: Write, expected: RowPrecondition, deadline: float
     ) -> AppendOutcome | None:
         """Append a write at the present head; None if the head moved on."""
         head, row = await asyncio.gather(
@@ -125,14 +127,14 @@
             return head
         if isinstance(row, StoreUnavailable):
             return row
-        present = row if isinstance(row, Row) else None
-        if already_so(write, present):
-            return await self.unchanged(present)
-        if not expected(present):
-            return await self.conflict(present)
+        current_row = row if isinstance(row, Row) else None
+        if already_applied(write, current_row):
+            return await self.unchanged_outcome(current_row)
+        if not expected(current_row):
+            return await self.conflict_outcome(current_row)
         change = self.change(write, head.version + 1)
-        transaction = transaction_for(write, change, head, present)
-        return await self.settle(transaction, change, deadline)
+        transaction = transaction_for(write, change, head, current_row)
+        return await self.submit(transaction, change, deadline)
 
     def change(self, write: Write, version: int) -> Change:
         """Return the change that a write makes at a version."""
@@ -150,7 +152,7 @@
             at=self.wall_clock(),
         )
 
-    async def settle(
+    async def submit(
         self, transaction: Transaction, change: Change, deadline: float
     ) -> AppendOutcome | None:
         """Send a transaction until its fate is known.
@@ -164,14 +166,14 @@
             if isinstance(outcome, Committed):
                 return Appended(change.version, change)
             if isinstance(outcome, Conflict):
-                return await self.judge(change, deadline)
+                return await self.resolve_conflict(change, deadline)
             unsent = attempt == 0 and not outcome.maybe_applied
-            if unsent or not await self.paused(attempt, deadline):
+            if unsent or not await self.back_off(attempt, deadline):
                 maybe = attempt > 0 or outcome.maybe_applied
                 return StoreUnavailable(maybe, outcome.detail)
             attempt += 1
 
-    async def judge(
+    async def resolve_conflict(
         self, change: Change, deadline: float
     ) -> AppendOutcome | None:
         """Return whether a change whose check failed had been made before.
@@ -186,41 +188,43 @@
                 same = found.token == change.token
                 return Appended(change.version, change) if same else None
             if isinstance(found, Absent):
-                return await self.judge_absent(change)
-            if not await self.paused(attempt, deadline):
+                return await self.resolve_missing_change(change)
+            if not await self.back_off(attempt, deadline):
                 return StoreUnavailable(True, found.detail)
             attempt += 1
 
-    async def judge_absent(self, change: Change) -> StoreUnavailable | None:
+    async def resolve_missing_change(
+        self, change: Change
+    ) -> StoreUnavailable | None:
         """Tell a change that was never made from one deleted by compaction."""
         head = await read_head(self.store)
         if isinstance(head, Head) and head.version < change.version:
             return None
         return StoreUnavailable(True, "the change log was shortened")
 
-    async def conflict(self, present: Row | None) -> ChangeConflict:
+    async def conflict_outcome(self, current_row: Row | None) -> ChangeConflict:
         """Return who wrote the row that was not as expected."""
-        version = resource_version(present)
-        value = present.value if present is not None else None
-        author = await self.author(version)
-        if author is None:
+        version = resource_version(current_row)
+        value = current_row.value if current_row is not None else None
+        last_change = await self.find_change(version)
+        if last_change is None:
             return ChangeConflict(value, "", version)
-        return ChangeConflict(value, author.actor, version, author.at)
+        return ChangeConflict(value, last_change.actor, version, last_change.at)
 
-    async def unchanged(self, present: Row | None) -> Unchanged:
+    async def unchanged_outcome(self, current_row: Row | None) -> Unchanged:
         """Return who wrote the row that is as wanted."""
-        version = resource_version(present)
-        author = await self.author(version)
-        return Unchanged(version, author.actor if author else "")
+        version = resource_version(current_row)
+        last_change = await self.find_change(version)
+        return Unchanged(version, last_change.actor if last_change else "")
 
-    async def author(self, version: int) -> Change | None:
+    async def find_change(self, version: int) -> Change | None:
         """Return the change of a version, if it is still known."""
         if version == 0:
             return None
         found = await read_change(self.store, version)
         return found if isinstance(found, Change) else None
 
-    async def paused(self, attempt: int, deadline: float) -> bool:
+    async def back_off(self, attempt: int, deadline: float) -> bool:
         """Wait before another attempt; return whether time is left for it."""
         ceiling = RETRY_PAUSE_SECONDS * 2 ** min(attempt, 10)
         ceiling = min(ceiling, MAX_RETRY_PAUSE_SECONDS)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/channel.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/channel.py
@@ -7,16 +7,16 @@
 import aiohttp
 import attrs
 
-from jackdawcrank.store.answer import Answer
 from jackdawcrank.store.breaker import CircuitBreaker
 from jackdawcrank.store.limits import StoreLimits
 from jackdawcrank.store.outcome import StoreUnavailable
-from jackdawcrank.store.rate_limit import RateLimit
+from jackdawcrank.store.response import StoreResponse
+from jackdawcrank.store.token_bucket import TokenBucket
 from jackdawcrank.store.traffic import Traffic, header_bytes
 
 SERVER_ERROR = 500
 CHUNK_BYTES = 64 * 1024
-LIBRARY_ERRORS = (aiohttp.ClientError, OSError, asyncio.TimeoutError)
+TRANSPORT_ERRORS = (aiohttp.ClientError, OSError, asyncio.TimeoutError)
 
 
 @attrs.frozen
@@ -56,7 +56,7 @@
       rng: The source of jitter.
       limits: The bounds.
       breaker: Stops requests while the store does not answer.
-      rate: Bounds the requests per second.
+      rate_limit: Bounds the requests per second.
       traffic: What was sent and received.
       slots: Bounds the requests under way.
       session: The HTTP client; None unless started.
@@ -67,23 +67,23 @@
     rng: random.Random
     limits: StoreLimits
     breaker: CircuitBreaker = attrs.field()
-    rate: RateLimit = attrs.field()
+    rate_limit: TokenBucket = attrs.field()
     traffic: Traffic = attrs.field(factory=Traffic)
     slots: asyncio.Semaphore = attrs.field()
     session: aiohttp.ClientSession | None = None
 
     @breaker.default
-    def closed_breaker(self) -> CircuitBreaker:
+    def new_breaker(self) -> CircuitBreaker:
         """Return a breaker that lets requests through."""
         return CircuitBreaker(self.rng)
 
-    @rate.default
-    def full_rate(self) -> RateLimit:
+    @rate_limit.default
+    def new_token_bucket(self) -> TokenBucket:
         """Return an unused rate limit."""
-        return RateLimit(self.limits.per_second, self.limits.burst)
+        return TokenBucket(self.limits.per_second, self.limits.burst)
 
     @slots.default
-    def free_slots(self) -> asyncio.Semaphore:
+    def new_slots(self) -> asyncio.Semaphore:
         """Return the slots for requests under way."""
         return asyncio.Semaphore(self.limits.concurrency)
 
@@ -97,47 +97,47 @@
         if session is not None:
             await session.close()
 
-    async def send(self, request: Request) -> Answer | StoreUnavailable:
+    async def send(self, request: Request) -> StoreResponse | StoreUnavailable:
         """Send a request; a read is sent twice if it is slow or fails."""
         deadline = self.clock() + request.seconds
         if not request.reads:
             return await self.attempt(request, deadline)
         first = asyncio.create_task(self.attempt(request, deadline))
-        second = asyncio.create_task(self.reserve(first, request, deadline))
+        second = asyncio.create_task(self.send_hedge(first, request, deadline))
         try:
-            return await first_answer(first, second)
+            return await first_response(first, second)
         finally:
             first.cancel()
             second.cancel()
 
-    async def reserve(
+    async def send_hedge(
         self,
-        first: "asyncio.Task[Answer | StoreUnavailable]",
+        first: "asyncio.Task[StoreResponse | StoreUnavailable]",
         request: Request,
         deadline: float,
-    ) -> Answer | StoreUnavailable:
+    ) -> StoreResponse | StoreUnavailable:
         """Send a read again once the first try is slow or has failed.
 
         The second try goes over another connection, so that one that went
         silent costs little.
         """
-        await asyncio.wait([first], timeout=self.limits.hedge_seconds)
+        await asyncio.wait([first], timeout=self.limits.hedge_delay_seconds)
         if first.done():
             outcome = first.result()
-            if isinstance(outcome, Answer):
+            if isinstance(outcome, StoreResponse):
                 return outcome
-            pause = self.rng.uniform(0, self.limits.retry_seconds)
+            pause = self.rng.uniform(0, self.limits.retry_delay_seconds)
             await asyncio.sleep(pause)
         return await self.attempt(request, deadline)
 
     async def attempt(
         self, request: Request, deadline: float
-    ) -> Answer | StoreUnavailable:
+    ) -> StoreResponse | StoreUnavailable:
         """Send a request once, if the bounds allow it."""
         session = self.session
         if session is None:
             return StoreUnavailable(False, "the store client is closed")
-        wait = self.rate.take(self.clock(), deadline - self.clock())
+        wait = self.rate_limit.take(self.clock(), deadline - self.clock())
         if wait is None:
             return StoreUnavailable(False, "too many requests to the store")
         if wait > 0:
@@ -148,29 +148,29 @@
         except TimeoutError:
             return StoreUnavailable(False, "too many requests under way")
         try:
-            if not self.breaker.allows(self.clock()):
+            if not self.breaker.allow_request(self.clock()):
                 return StoreUnavailable(False, "the store has been failing")
-            return await self.judged(session, request, deadline)
+            return await self.exchange_recorded(session, request, deadline)
         finally:
             self.slots.release()
 
-    async def judged(
+    async def exchange_recorded(
         self,
         session: aiohttp.ClientSession,
         request: Request,
         deadline: float,
-    ) -> Answer | StoreUnavailable:
+    ) -> StoreResponse | StoreUnavailable:
         """Send a request and tell the breaker what became of it."""
         try:
             outcome = await self.exchange(session, request, deadline)
         except asyncio.CancelledError:
-            self.breaker.abandoned()
+            self.breaker.record_cancellation()
             raise
-        if isinstance(outcome, Answer):
-            self.breaker.succeeded()
+        if isinstance(outcome, StoreResponse):
+            self.breaker.record_success()
         else:
             self.traffic.failures += 1
-            self.breaker.failed(self.clock())
+            self.breaker.record_failure(self.clock())
         return outcome
 
     async def exchange(
@@ -178,7 +178,7 @@
         session: aiohttp.ClientSession,
         request: Request,
         deadline: float,
-    ) -> Answer | StoreUnavailable:
+    ) -> StoreResponse | StoreUnavailable:
         """Send a request and judge its answer."""
         maybe_applied = not request.reads
         left = deadline - self.clock()
@@ -189,7 +189,7 @@
         try:
             async with asyncio.timeout(left):
                 answer = await self.transfer(session, request)
-        except LIBRARY_ERRORS as error:
+        except TRANSPORT_ERRORS as error:
             refused = isinstance(error, aiohttp.ClientConnectorError)
             detail = f"{type(error).__name__}: {error}".strip(": ")
             return StoreUnavailable(maybe_applied and not refused, detail)
@@ -202,7 +202,7 @@
 
     async def transfer(
         self, session: aiohttp.ClientSession, request: Request
-    ) -> Answer:
+    ) -> StoreResponse:
         """Send a request and read the whole answer."""
         async with session.request(
             request.method,
@@ -212,7 +212,7 @@
         ) as response:
             body = await self.read_body(response)
             self.count(request, response, len(body))
-            return Answer(response.status, body, response.headers)
+            return StoreResponse(response.status, body, response.headers)
 
     def count(
         self, request: Request, response: aiohttp.ClientResponse, length: int
@@ -233,13 +233,13 @@
         return bytes(chunks)
 
 
-async def first_answer(
-    *attempts: "asyncio.Task[Answer | StoreUnavailable]",
-) -> Answer | StoreUnavailable:
+async def first_response(
+    *attempts: "asyncio.Task[StoreResponse | StoreUnavailable]",
+) -> StoreResponse | StoreUnavailable:
     """Return the first answer of some attempts, or the last failure."""
-    outcome: Answer | StoreUnavailable = StoreUnavailable()
+    outcome: StoreResponse | StoreUnavailable = StoreUnavailable()
     for attempt in asyncio.as_completed(attempts):
         outcome = await attempt
-        if isinstance(outcome, Answer):
+        if isinstance(outcome, StoreResponse):
             break
     return outcome
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/client.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/client.py
@@ -9,7 +9,6 @@
 
 import attrs
 
-from jackdawcrank.store.answer import Answer
 from jackdawcrank.store.channel import Channel, Request
 from jackdawcrank.store.limits import StoreLimits
 from jackdawcrank.store.outcome import (
@@ -25,6 +24,7 @@
     StoredObject,
     StoreUnavailable,
 )
+from jackdawcrank.store.response import StoreResponse
 from jackdawcrank.store.traffic import Traffic
 from jackdawcrank.store.transaction import Transaction
 from jackdawcrank_policy.values import Vm, VmState
@@ -38,8 +38,8 @@
 NOT_FOUND = 404
 CONFLICT = 409
 PRECONDITION_FAILED = 412
-WRITTEN = (OK, CREATED, NO_CONTENT)
-MALFORMED = (ValueError, KeyError, TypeError, AttributeError)
+SUCCESS_STATUSES = (OK, CREATED, NO_CONTENT)
+DECODE_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
@@ -95,7 +95,7 @@
             return answer
         if answer.status == NOT_FOUND:
             return Absent()
-        return decoded(answer, lambda body: row(key, body))
+        return decode_response(answer, lambda body: row(key, body))
 
     async def scan(
         self, table: str, after: str = "", limit: int = 200
@@ -111,7 +111,7 @@
         answer = await self.read(f"/tables/{quote(table, safe='')}?{query}")
         if isinstance(answer, StoreUnavailable):
             return answer
-        return decoded(answer, page)
+        return decode_response(answer, page)
 
     async def transact(
         self, transaction: Transaction
@@ -121,7 +121,7 @@
         request = Request(
             "POST",
             "/transactions",
-            self.limits.write_seconds,
+            self.limits.write_timeout_seconds,
             body,
             JSON_HEADERS,
         )
@@ -129,8 +129,8 @@
         if isinstance(answer, StoreUnavailable):
             return answer
         if answer.status == CONFLICT:
-            return decoded(answer, conflict, maybe_applied=False)
-        return decoded(answer, committed, maybe_applied=True)
+            return decode_response(answer, conflict, maybe_applied=False)
+        return decode_response(answer, committed, maybe_applied=True)
 
     async def get_object(
         self, name: str
@@ -142,7 +142,7 @@
         if answer.status == NOT_FOUND:
             return Absent()
         if answer.status != OK:
-            return unexpected(answer)
+            return unexpected_status(answer)
         return StoredObject(answer.body, answer.etag)
 
     async def put_object(
@@ -150,7 +150,7 @@
         name: str,
         data: bytes,
         if_match: str | None = None,
-        only_new: bool = False,
+        create_only: bool = False,
     ) -> ObjectWritten | PreconditionFailed | StoreUnavailable:
         """Write an object.
 
@@ -158,18 +158,18 @@
           name: The object's name.
           data: Its bytes.
           if_match: The entity tag that the object must have.
-          only_new: Whether the object must not exist yet.
+          create_only: Whether the object must not exist yet.
         """
         headers = {"If-Match": if_match} if if_match is not None else {}
-        if only_new:
+        if create_only:
             headers["If-None-Match"] = "*"
         answer = await self.object_request("PUT", name, data, headers)
         if isinstance(answer, StoreUnavailable):
             return answer
         if answer.status == PRECONDITION_FAILED:
             return PreconditionFailed()
-        if answer.status not in WRITTEN:
-            return unexpected(answer, maybe_applied=True)
+        if answer.status not in SUCCESS_STATUSES:
+            return unexpected_status(answer, maybe_applied=True)
         return ObjectWritten(answer.etag)
 
     async def delete_object(self, name: str) -> Deleted | StoreUnavailable:
@@ -177,8 +177,8 @@
         answer = await self.object_request("DELETE", name)
         if isinstance(answer, StoreUnavailable):
             return answer
-        if answer.status not in (*WRITTEN, NOT_FOUND):
-            return unexpected(answer, maybe_applied=True)
+        if answer.status not in (*SUCCESS_STATUSES, NOT_FOUND):
+            return unexpected_status(answer, maybe_applied=True)
         return Deleted()
 
     async def list_objects(
@@ -188,7 +188,7 @@
         answer = await self.read(f"/objects?{urlencode({'prefix': prefix})}")
         if isinstance(answer, StoreUnavailable):
             return answer
-        return decoded(answer, object_names)
+        return decode_response(answer, object_names)
 
     async def list_vms(self) -> tuple[Vm, ...] | StoreUnavailable:
         """Return the platform's list of VMs, which lags."""
@@ -199,16 +199,16 @@
             return answer
         if answer.status == NOT_MODIFIED:
             return known
-        vms = decoded(answer, vm_list)
+        vms = decode_response(answer, vm_list)
         if not isinstance(vms, StoreUnavailable):
             self.vms = (answer.etag, vms)
         return vms
 
     async def read(
         self, path: str, headers: dict[str, str] | None = None
-    ) -> Answer | StoreUnavailable:
+    ) -> StoreResponse | StoreUnavailable:
         """Send a read of a table or list."""
-        seconds = self.limits.read_seconds
+        seconds = self.limits.read_timeout_seconds
         request = Request("GET", path, seconds, headers=headers or {})
         return await self.channel.send(request)
 
@@ -218,28 +218,32 @@
         name: str,
         data: bytes = b"",
         headers: dict[str, str] | None = None,
-    ) -> Answer | StoreUnavailable:
+    ) -> StoreResponse | StoreUnavailable:
         """Send a request about one object."""
         path = f"/objects/{quote(name, safe='/')}"
-        seconds = self.limits.object_seconds
+        seconds = self.limits.object_timeout_seconds
         request = Request(method, path, seconds, data, headers or {})
         return await self.channel.send(request)
 
 
-def decoded(
-    answer: Answer, decode: Callable[[Any], T], maybe_applied: bool = False
+def decode_response(
+    answer: StoreResponse,
+    decode: Callable[[Any], T],
+    maybe_applied: bool = False,
 ) -> T | StoreUnavailable:
     """Return what an answer's JSON means, or that it is of no use."""
     if answer.status not in (OK, CONFLICT):
-        return unexpected(answer)
+        return unexpected_status(answer)
     try:
         return decode(answer.document())
-    except MALFORMED as error:
+    except DECODE_ERRORS as error:
         detail = f"malformed answer: {error!r}"
         return StoreUnavailable(maybe_applied, detail)
 
 
-def unexpected(answer: Answer, maybe_applied: bool = False) -> StoreUnavailable:
+def unexpected_status(
+    answer: StoreResponse, maybe_applied: bool = False
+) -> StoreUnavailable:
     """Return the outcome for a status that the contract does not name."""
     detail = f"the store answered {answer.status}: {answer.body[:200]!r}"
     return StoreUnavailable(maybe_applied, detail)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/group_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/group_rows.py
@@ -43,13 +43,13 @@
         answer = await self.change_log.append_group_row(
             new.group,
             encode_group_row(new),
-            lambda row: row_in(row) == expected,
+            lambda row: decode_optional_row(row) == expected,
             self.actor,
         )
         if isinstance(answer, Appended):
             return Stored(answer.version)
         if isinstance(answer, ChangeConflict):
-            return settled(answer, new)
+            return claim_outcome(answer, new)
         if isinstance(answer, outcome.StoreUnavailable):
             return StoreUnavailable(answer.detail)
         raise TypeError(f"not an outcome of a claim: {answer!r}")
@@ -67,12 +67,12 @@
         return row
 
 
-def row_in(row: outcome.Row | None) -> GroupRow | None:
+def decode_optional_row(row: outcome.Row | None) -> GroupRow | None:
     """Return the group row in a row of the table."""
     return None if row is None else decode_group_row(row.value)
 
 
-def settled(conflict: ChangeConflict, new: GroupRow) -> Stored | Conflict:
+def claim_outcome(conflict: ChangeConflict, new: GroupRow) -> Stored | Conflict:
     """Return whether the row that stands is the one to be written."""
     value = conflict.current
     current = None if value is None else decode_group_row(value)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/answer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/response.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class Answer:
+class StoreResponse:
     """A complete HTTP answer.
 
     Attributes:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/rate_limit.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/token_bucket.py
@@ -4,7 +4,7 @@
 
 
 @attrs.define
-class RateLimit:
+class TokenBucket:
     """A token bucket whose takers queue by waiting.
 
     Attributes:
@@ -20,25 +20,25 @@
     filled_at: float = 0.0
 
     @tokens.default
-    def full(self) -> float:
+    def full_bucket(self) -> float:
         """Return the tokens of a full bucket."""
         return self.burst
 
-    def take(self, now: float, longest: float) -> float | None:
+    def take(self, now: float, max_wait: float) -> float | None:
         """Take a token and return how long to wait before using it.
 
         Args:
           now: The present.
-          longest: The longest wait in seconds that is of use.
+          max_wait: The longest wait in seconds that is of use.
 
         Returns:
           The wait in seconds; None, and nothing taken, if it is too long.
         """
-        gained = max(0.0, now - self.filled_at) * self.per_second
-        self.tokens = min(self.burst, self.tokens + gained)
+        refill = max(0.0, now - self.filled_at) * self.per_second
+        self.tokens = min(self.burst, self.tokens + refill)
         self.filled_at = now
         wait = max(0.0, (1.0 - self.tokens) / self.per_second)
-        if wait > longest:
+        if wait > max_wait:
             return None
         self.tokens -= 1.0
         return wait
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/write.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/write.py
@@ -16,7 +16,7 @@
 )
 from jackdawcrank_policy.configuration import Change, Kind
 
-Expectation = Callable[[Row | None], bool]
+RowPrecondition = Callable[[Row | None], bool]
 
 
 @attrs.frozen
@@ -50,17 +50,17 @@
         return f"{self.kind}/{self.name}"
 
 
-def at_version(version: int | None) -> Expectation:
+def version_precondition(version: int | None) -> RowPrecondition:
     """Return the expectation that a resource is at a version.
 
     Args:
       version: The resource version; 0 for no row, None for any.
     """
 
-    def holds(row: Row | None) -> bool:
+    def matches(row: Row | None) -> bool:
         return version is None or resource_version(row) == version
 
-    return holds
+    return matches
 
 
 def resource_version(row: Row | None) -> int:
@@ -70,26 +70,26 @@
     return int(row.value.get("resource_version", 0))
 
 
-def already_so(write: Write, present: Row | None) -> bool:
+def already_applied(write: Write, current_row: Row | None) -> bool:
     """Return whether a resource is as a write would make it.
 
     A repeated write, whose first answer was lost, is recognized by this.
 
     Args:
       write: The write.
-      present: The resource's row; None if there is none.
+      current_row: The resource's row; None if there is none.
     """
     if write.kind == Kind.GROUP_ROW:
         return False
-    if write.body is None or present is None:
-        return write.body is None and present is None
-    body = dict(present.value)
+    if write.body is None or current_row is None:
+        return write.body is None and current_row is None
+    body = dict(current_row.value)
     body.pop("resource_version", None)
     return body == dict(write.body)
 
 
 def transaction_for(
-    write: Write, change: Change, head: Head, present: Row | None
+    write: Write, change: Change, head: Head, current_row: Row | None
 ) -> Transaction:
     """Return the transaction that makes a change.
 
@@ -97,11 +97,11 @@
       write: What is to be written.
       change: The change as the change log shall hold it.
       head: The head that the change follows.
-      present: The row that it replaces; None if there is none.
+      current_row: The row that it replaces; None if there is none.
     """
-    moved = attrs.evolve(head, version=change.version)
+    new_head = attrs.evolve(head, version=change.version)
     puts = [
-        RowPut(HEAD, HEAD, moved.value()),
+        RowPut(HEAD, HEAD, new_head.value()),
         RowPut("changes", change_key(change.version), encode_change(change)),
     ]
     deletes: tuple[RowDelete, ...] = ()
@@ -109,7 +109,7 @@
         deletes = (RowDelete(write.table, write.key),)
     else:
         puts.append(RowPut(write.table, write.key, dict(change.document)))
-    row_version = present.version if present is not None else None
+    row_version = current_row.version if current_row is not None else None
     checks = (
         RowCheck(HEAD, HEAD, head.row_version),
         RowCheck(write.table, write.key, row_version),
--- a/packages/jackdawcrank-proxy/tests/config/test_follower.py
+++ b/packages/jackdawcrank-proxy/tests/config/test_follower.py
@@ -142,7 +142,7 @@
     platform.faults.stop(StopMode.REFUSE)
     await timer.advance(2.0)
     platform.faults.start()
-    follower.store.channel.breaker.succeeded()
+    follower.store.channel.breaker.record_success()
     await timer.advance(1.0)
     assert states == [True, False, True]
 
@@ -202,7 +202,7 @@
     def __init__(self, platform: Platform, seed: int) -> None:
         self.platform = platform
         self.rng = random.Random(seed)
-        limits = StoreLimits(per_second=1e6, burst=1e6, retry_seconds=0.0)
+        limits = StoreLimits(per_second=1e6, burst=1e6, retry_delay_seconds=0.0)
         self.client = StoreClient(platform.url, rng=self.rng, limits=limits)
         self.log = ChangeLog(self.client, rng=self.rng, append_seconds=0.02)
         self.expected = [Configuration()]
@@ -221,7 +221,7 @@
         return ConfigurationFollower(self.client, ManualTimer())
 
     async def step(self, event: str) -> None:
-        self.client.channel.breaker.succeeded()
+        self.client.channel.breaker.record_success()
         if event == "append":
             await self.append()
         elif event == "read":
@@ -289,7 +289,7 @@
             await scenario.step(event)
             scenario.check(before, restarted=event == "restart")
         platform.faults.start()
-        scenario.client.channel.breaker.succeeded()
+        scenario.client.channel.breaker.record_success()
         await scenario.follower.read()
         assert scenario.follower.version == len(scenario.expected) - 1
         scenario.check(0, restarted=False)
--- a/packages/jackdawcrank-proxy/tests/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/conftest.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 async def client(platform: Platform) -> AsyncIterator[StoreClient]:
-    limits = StoreLimits(per_second=1e6, burst=1e6, retry_seconds=0.0)
+    limits = StoreLimits(per_second=1e6, burst=1e6, retry_delay_seconds=0.0)
     client = StoreClient(platform.url, rng=random.Random(1), limits=limits)
     await client.start()
     yield client
--- a/packages/jackdawcrank-proxy/tests/membership/test_tracker.py
+++ b/packages/jackdawcrank-proxy/tests/membership/test_tracker.py
@@ -123,7 +123,7 @@
     await timer.advance(300.0)
     assert one.view.live == ("vm-1", "vm-2")
     platform.faults.start()
-    one.store.channel.breaker.succeeded()
+    one.store.channel.breaker.record_success()
     seen: list[Any] = []
     one.on_view_change = seen.append
     await timer.advance(60.0)
--- a/packages/jackdawcrank-proxy/tests/operators/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/operators/conftest.py
@@ -91,7 +91,7 @@
 
 @pytest.fixture
 async def proxies(platform: Platform) -> AsyncIterator[list[Proxy]]:
-    limits = StoreLimits(per_second=1e6, burst=1e6, retry_seconds=0.0)
+    limits = StoreLimits(per_second=1e6, burst=1e6, retry_delay_seconds=0.0)
     made: list[Proxy] = []
     for vm in ("vm-1", "vm-2"):
         rng = random.Random(vm)
--- a/packages/jackdawcrank-proxy/tests/store/test_change_log.py
+++ b/packages/jackdawcrank-proxy/tests/store/test_change_log.py
@@ -122,7 +122,7 @@
     assert outcome.maybe_applied
     monkeypatch.undo()
     platform.faults.start()
-    client.channel.breaker.succeeded()
+    client.channel.breaker.record_success()
     again = await change_log.append(GROUP, "a", body(3), 0, "ada")
     assert again == Unchanged(1, "ada")
 
--- a/packages/jackdawcrank-proxy/tests/store/test_client.py
+++ b/packages/jackdawcrank-proxy/tests/store/test_client.py
@@ -22,9 +22,9 @@
     StoreUnavailable,
     Transaction,
 )
-from jackdawcrank.store.answer import Answer
-from jackdawcrank.store.breaker import FAILURES_TO_OPEN
+from jackdawcrank.store.breaker import FAILURE_THRESHOLD
 from jackdawcrank.store.channel import Channel
+from jackdawcrank.store.response import StoreResponse
 from jackdawcrank_policy.values import Vm
 from jackdawcrank_standins.platform import Platform, StopMode
 
@@ -63,9 +63,9 @@
 
 
 async def test_objects_honour_their_conditions(client: StoreClient) -> None:
-    written = await client.put_object("p/o", b"1", only_new=True)
+    written = await client.put_object("p/o", b"1", create_only=True)
     assert isinstance(written, ObjectWritten)
-    again = await client.put_object("p/o", b"2", only_new=True)
+    again = await client.put_object("p/o", b"2", create_only=True)
     assert again == PreconditionFailed()
     changed = await client.put_object("p/o", b"3", if_match=written.etag)
     assert isinstance(changed, ObjectWritten)
@@ -87,7 +87,9 @@
 ) -> None:
     platform.faults.stop(mode)
     if mode is StopMode.HANG:
-        client.limits = StoreLimits(read_seconds=0.03, write_seconds=0.03)
+        client.limits = StoreLimits(
+            read_timeout_seconds=0.03, write_timeout_seconds=0.03
+        )
     read = await client.get("t", "k")
     assert isinstance(read, StoreUnavailable)
     assert not read.maybe_applied
@@ -144,7 +146,7 @@
         return await transfer(self, *args)  # type: ignore[arg-type]
 
     monkeypatch.setattr(Channel, "transfer", silent_at_first)
-    client.channel.limits = StoreLimits(hedge_seconds=0.01)
+    client.channel.limits = StoreLimits(hedge_delay_seconds=0.01)
     assert await client.get("t", "k") == Row("k", 1, 1)
     assert calls == 2
 
@@ -153,7 +155,7 @@
     client: StoreClient, platform: Platform
 ) -> None:
     platform.faults.stop(StopMode.REFUSE)
-    for _ in range(FAILURES_TO_OPEN):
+    for _ in range(FAILURE_THRESHOLD):
         await client.transact(put("k", 1))
     sent = client.traffic.requests
     client.channel.breaker.open_until = float("inf")
@@ -185,8 +187,8 @@
 async def test_a_malformed_answer_is_a_failure(
     client: StoreClient, monkeypatch: pytest.MonkeyPatch, text: bytes
 ) -> None:
-    async def garbled(self: Channel, *args: object) -> Answer:
-        return Answer(200, text, {})
+    async def garbled(self: Channel, *args: object) -> StoreResponse:
+        return StoreResponse(200, text, {})
 
     monkeypatch.setattr(Channel, "transfer", garbled)
     read = await client.get("t", "k")
--- /dev/null
+++ b/packages/jackdawcrank-proxy/tests/store/test_token_bucket.py
@@ -0,0 +1,29 @@
+"""Tests of the rate limit."""
+
+from jackdawcrank.store.token_bucket import TokenBucket
+
+
+def test_a_burst_passes_at_once() -> None:
+    bucket = TokenBucket(per_second=10, burst=3)
+    assert [bucket.take(0.0, 1.0) for _ in range(3)] == [0.0, 0.0, 0.0]
+
+
+def test_takers_beyond_the_burst_queue() -> None:
+    bucket = TokenBucket(per_second=10, burst=1)
+    waits = [bucket.take(0.0, 1.0) for _ in range(3)]
+    assert waits == [0.0, 0.1, 0.2]
+
+
+def test_a_wait_that_is_too_long_takes_nothing() -> None:
+    bucket = TokenBucket(per_second=10, burst=1)
+    bucket.take(0.0, 1.0)
+    assert bucket.take(0.0, 0.05) is None
+    assert bucket.take(0.0, 0.15) == 0.1
+
+
+def test_the_long_run_rate_is_kept() -> None:
+    bucket = TokenBucket(per_second=10, burst=5)
+    passed = 0
+    for step in range(1000):
+        passed += bucket.take(step / 100, 0.0) is not None
+    assert 100 <= passed <= 105
