--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
@@ -27,13 +27,13 @@
     StatementRunner,
 )
 from jackdawcrank.results import (
-    lost_transaction,
     result_error,
     result_from_answer,
+    rolled_back_error,
 )
-from jackdawcrank.results.answers import failed
-from jackdawcrank.results.errors import ROLLED_BACK_CODE, ROLLED_BACK_STATE
-from jackdawcrank.statements import first_word
+from jackdawcrank.results.answers import failure_from_answer
+from jackdawcrank.results.errors import ROLLED_BACK_CODE, ROLLED_BACK_SQLSTATE
+from jackdawcrank.statements import first_keyword
 from jackdawcrank_policy.values import (
     Done,
     Failed,
@@ -163,7 +163,7 @@
             return ResultOk()
         closed = request.transaction_id in self.closed
         if closed or request.begun or request.kind is StatementKind.COMMIT:
-            return lost_transaction("this proxy does not hold it")
+            return rolled_back_error("this proxy does not hold it")
         ticket = await self.gate.enter(
             request.caller, request.caller_class, weight, deadline
         )
@@ -225,7 +225,7 @@
         deadline: float,
     ) -> StatementResult:
         if transaction.transaction_id not in self.open:
-            return lost_transaction("it was closed before this statement")
+            return rolled_back_error("it was closed before this statement")
         try:
             match request.kind:
                 case StatementKind.COMMIT:
@@ -251,14 +251,14 @@
         )
         if isinstance(answer, LostAnswer):
             self._close(transaction)
-            if first_word(request.sql.decode("utf-8", "replace")) == "call":
+            if first_keyword(request.sql.decode("utf-8", "replace")) == "call":
                 return result_error(Unknown(answer.detail))
-            return lost_transaction(answer.detail)
+            return rolled_back_error(answer.detail)
         if isinstance(answer, ErrorAnswer):
             return await self._statement_failed(transaction, answer)
         if not await self._rows_stand(transaction, answer, deadline):
             self._close(transaction)
-            return lost_transaction("the primary was replaced")
+            return rolled_back_error("the primary was replaced")
         primary = transaction.primary
         result = result_from_answer(answer, primary.server, primary.term)
         return self._still_open(transaction, result)
@@ -266,7 +266,7 @@
     async def _statement_failed(
         self, transaction: OpenTransaction, answer: ErrorAnswer
     ) -> StatementResult:
-        result = result_error(failed(answer))
+        result = result_error(failure_from_answer(answer))
         if answer.code in ROLLED_BACK_CODES:
             await self._roll_back(transaction)
             return result
@@ -314,7 +314,7 @@
         if isinstance(answer, ErrorAnswer):
             transaction.link.close()
             if answer.code in ROLLED_BACK_CODES:
-                return result_error(failed(answer))
+                return result_error(failure_from_answer(answer))
             return result_error(Unknown(f"COMMIT: {answer.message}"))
         if isinstance(answer, LostAnswer):
             return result_error(Unknown(answer.detail))
@@ -343,7 +343,7 @@
         if verdict is ReadVerdict.STANDS:
             return Done()
         return Failed(
-            ROLLED_BACK_CODE, ROLLED_BACK_STATE, "the primary was replaced"
+            ROLLED_BACK_CODE, ROLLED_BACK_SQLSTATE, "the primary was replaced"
         )
 
     async def _record(
@@ -365,7 +365,7 @@
             if isinstance(found, NotRun) or found.record is None:
                 return result_error(Unknown("its record was not found"))
             return ResultOk()
-        return lost_transaction(f"its request id was not recorded: {answer}")
+        return rolled_back_error(f"its request id was not recorded: {answer}")
 
     async def _settle(
         self,
@@ -382,7 +382,7 @@
         if found is None:
             return doubt
         if found.record is None:
-            return lost_transaction("the primary was replaced")
+            return rolled_back_error("the primary was replaced")
         return ResultOk()
 
     async def _roll_back(self, transaction: OpenTransaction) -> StatementResult:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
@@ -22,8 +22,8 @@
     StatementRunner,
 )
 from jackdawcrank.results import result_error, result_from_answer
-from jackdawcrank.results.answers import failed
-from jackdawcrank.statements import FrontKind, classify, first_word
+from jackdawcrank.results.answers import failure_from_answer
+from jackdawcrank.statements import FrontKind, classify, first_keyword
 from jackdawcrank_policy.requests import CONNECTION_LOST_CODE, Executed
 from jackdawcrank_policy.requests.request_record import RequestResult
 from jackdawcrank_policy.values import (
@@ -143,7 +143,7 @@
         if isinstance(answer, LostAnswer):
             return result_error(Unknown(answer.detail))
         if isinstance(answer, ErrorAnswer):
-            return result_error(failed(answer))
+            return result_error(failure_from_answer(answer))
         position = answer.position if isinstance(answer, OkAnswer) else None
         verdict = await self._verdict(position, primary, deadline)
         if not isinstance(verdict, Done):
@@ -302,7 +302,7 @@
 def _commits_itself(sql: str) -> bool:
     """Return whether a statement may commit by itself, as DDL does."""
     kind = classify(sql).kind
-    return kind is FrontKind.IMPLICIT_COMMIT or first_word(sql) == "call"
+    return kind is FrontKind.IMPLICIT_COMMIT or first_keyword(sql) == "call"
 
 
 def _was_rolled_back(answer: LinkAnswer | NotStarted) -> bool:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_session.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_session.py
@@ -14,7 +14,7 @@
 from jackdawcrank.front.session_variables import SessionVariables
 from jackdawcrank.front.statement_router import StatementRouter
 from jackdawcrank.front.transaction import Transaction
-from jackdawcrank.results import lost_transaction
+from jackdawcrank.results import rolled_back_error
 from jackdawcrank.results.errors import not_run, not_supported, result_error
 from jackdawcrank.statements import Options
 from jackdawcrank.statements.options import NO_OPTIONS
@@ -140,7 +140,7 @@
         if transaction is None or not transaction.broken:
             return None
         self.transaction = None
-        error = lost_transaction(transaction.broken)
+        error = rolled_back_error(transaction.broken)
         return attrs.evolve(error, reason="transaction_lost")
 
     async def send(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_variables.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_variables.py
@@ -6,7 +6,11 @@
 
 from jackdawcrank.results.errors import not_run, not_supported
 from jackdawcrank.statements import Assignment, MalformedOption, Options
-from jackdawcrank.statements.options import NO_OPTIONS, READERS, read_options
+from jackdawcrank.statements.options import (
+    NO_OPTIONS,
+    OPTION_PARSERS,
+    read_options,
+)
 from jackdawcrank_wire.messages import ResultError
 
 # Variables whose change is carried to the backend connection.
@@ -76,7 +80,7 @@
         return not_supported(f"SET {item.name}")
 
     def _assign_option(self, item: Assignment) -> ResultError | None:
-        if item.name not in READERS:
+        if item.name not in OPTION_PARSERS:
             return not_supported("a user variable")
         if item.value.lower() in ("null", "default", ""):
             empty = getattr(NO_OPTIONS, item.name)
@@ -87,7 +91,7 @@
         options = read_options({item.name: item.value})
         if isinstance(options, MalformedOption):
             return not_run("bad_option", options.detail, code=1210)
-        self.defaults = options.over(self.defaults)
+        self.defaults = options.with_defaults(self.defaults)
         return None
 
     def _assign_autocommit(self, item: Assignment) -> ResultError | None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_handlers.py
@@ -45,7 +45,9 @@
     given = options_from_attributes(attributes)
     if isinstance(given, MalformedOption):
         return _bad_option(given)
-    options = given.over(split.options).over(session.own.defaults)
+    options = given.with_defaults(split.options).with_defaults(
+        session.own.defaults
+    )
     statement = classify(split.sql)
     try:
         handler = _HANDLERS[statement.kind]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
@@ -10,7 +10,7 @@
 from jackdawcrank.peers import PeerLinks, PeerUnreachable
 from jackdawcrank.process.caller_classes import CallerClasses
 from jackdawcrank.process.home_registry import HomeRegistry
-from jackdawcrank.results import lost_transaction, result_error
+from jackdawcrank.results import result_error, rolled_back_error
 from jackdawcrank_policy.budget import writer_names
 from jackdawcrank_policy.retry import RetryBudget
 from jackdawcrank_policy.tokens import (
@@ -201,7 +201,7 @@
     ) -> StatementResult:
         home = self.pinned.get(request.transaction_id)
         if home is None and request.kind in ENDINGS:
-            return lost_transaction("it is not open")
+            return rolled_back_error("it is not open")
         if home is None:
             homes = self._homes(request)
             if not homes:
@@ -288,7 +288,7 @@
     if request.transaction_id:
         if request.kind is StatementKind.COMMIT and answer.sent:
             return result_error(Unknown(answer.detail))
-        return lost_transaction(answer.detail)
+        return rolled_back_error(answer.detail)
     if answer.sent:
         return result_error(Unknown(answer.detail))
     return result_error(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/results/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/results/__init__.py
@@ -2,15 +2,15 @@
 
 from jackdawcrank.results.answers import result_from_answer
 from jackdawcrank.results.errors import (
-    lost_transaction,
     not_run,
     not_supported,
     result_error,
+    rolled_back_error,
     shutting_down,
 )
 
 __all__ = [
-    "lost_transaction",
+    "rolled_back_error",
     "not_run",
     "not_supported",
     "result_error",
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/results/answers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/results/answers.py
@@ -40,12 +40,12 @@
                 server=server,
             )
         case ErrorAnswer():
-            return result_error(failed(answer))
+            return result_error(failure_from_answer(answer))
         case LostAnswer():
             return result_error(Unknown(answer.detail))
 
 
-def failed(answer: ErrorAnswer) -> Failed:
+def failure_from_answer(answer: ErrorAnswer) -> Failed:
     """Return the failure that a backend server reported.
 
     Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/results/errors.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/results/errors.py
@@ -11,26 +11,26 @@
 )
 from jackdawcrank_wire.messages import ResultError, StatementOutcome
 
-GENERAL_STATE = "HY000"
-UNKNOWN_STATE = "08007"
+GENERAL_SQLSTATE = "HY000"
+UNKNOWN_OUTCOME_SQLSTATE = "08007"
 GENERAL_CODE = 1105
 ROLLED_BACK_CODE = 1213
-ROLLED_BACK_STATE = "40001"
+ROLLED_BACK_SQLSTATE = "40001"
 
 # The MySQL code and SQLSTATE of each refusal.
 _REFUSALS: dict[NotRunReason, tuple[int, str]] = {
-    NotRunReason.BAD_OPTION: (1210, GENERAL_STATE),
+    NotRunReason.BAD_OPTION: (1210, GENERAL_SQLSTATE),
     NotRunReason.UNKNOWN_GROUP: (1049, "42000"),
     NotRunReason.OVERLOADED: (1040, "08004"),
     NotRunReason.LIMITED: (1226, "42000"),
-    NotRunReason.DEADLINE: (3024, GENERAL_STATE),
-    NotRunReason.NO_PRIMARY: (1290, GENERAL_STATE),
-    NotRunReason.NO_SERVER: (1290, GENERAL_STATE),
-    NotRunReason.STALE_TOKEN: (GENERAL_CODE, GENERAL_STATE),
-    NotRunReason.WRITE_LOST: (GENERAL_CODE, GENERAL_STATE),
+    NotRunReason.DEADLINE: (3024, GENERAL_SQLSTATE),
+    NotRunReason.NO_PRIMARY: (1290, GENERAL_SQLSTATE),
+    NotRunReason.NO_SERVER: (1290, GENERAL_SQLSTATE),
+    NotRunReason.STALE_TOKEN: (GENERAL_CODE, GENERAL_SQLSTATE),
+    NotRunReason.WRITE_LOST: (GENERAL_CODE, GENERAL_SQLSTATE),
     NotRunReason.TOO_LARGE: (1153, "08S01"),
     NotRunReason.SHUTTING_DOWN: (1053, "08S01"),
-    NotRunReason.PEER_UNREACHABLE: (GENERAL_CODE, GENERAL_STATE),
+    NotRunReason.PEER_UNREACHABLE: (GENERAL_CODE, GENERAL_SQLSTATE),
     NotRunReason.NOT_SUPPORTED: (1235, "42000"),
 }
 
@@ -75,7 +75,7 @@
         outcome=StatementOutcome.UNKNOWN,
         reason="in_doubt",
         code=GENERAL_CODE,
-        sqlstate=UNKNOWN_STATE,
+        sqlstate=UNKNOWN_OUTCOME_SQLSTATE,
         message=outcome.detail,
     )
 
@@ -89,7 +89,7 @@
     reason: str,
     message: str,
     code: int = GENERAL_CODE,
-    sqlstate: str = GENERAL_STATE,
+    sqlstate: str = GENERAL_SQLSTATE,
 ) -> ResultError:
     """Return a refusal.
 
@@ -104,13 +104,13 @@
     )
 
 
-def not_supported(what: str) -> ResultError:
+def not_supported(feature: str) -> ResultError:
     """Return the refusal of something that the proxy does not offer.
 
     Args:
-      what: The statement or command.
+      feature: The statement or command.
     """
-    detail = f"{what} is not supported"
+    detail = f"{feature} is not supported"
     return result_error(NotRun(NotRunReason.NOT_SUPPORTED, detail))
 
 
@@ -120,11 +120,11 @@
     return result_error(NotRun(NotRunReason.SHUTTING_DOWN, detail, 0))
 
 
-def lost_transaction(detail: str) -> ResultError:
+def rolled_back_error(detail: str) -> ResultError:
     """Return the error of a transaction that was rolled back.
 
     Args:
       detail: A sentence for people.
     """
     message = f"the transaction was rolled back: {detail}"
-    return result_error(Failed(ROLLED_BACK_CODE, ROLLED_BACK_STATE, message))
+    return result_error(Failed(ROLLED_BACK_CODE, ROLLED_BACK_SQLSTATE, message))
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/__init__.py
@@ -1,6 +1,6 @@
 """What a caller's statement is and which options it carries."""
 
-from jackdawcrank.statements.classify import classify, first_word
+from jackdawcrank.statements.classify import classify, first_keyword
 from jackdawcrank.statements.front_kind import FrontKind
 from jackdawcrank.statements.options import (
     MalformedOption,
@@ -21,7 +21,7 @@
     "Options",
     "Statement",
     "classify",
-    "first_word",
+    "first_keyword",
     "options_from_attributes",
     "parse_set",
     "split_options",
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/classify.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/classify.py
@@ -14,21 +14,23 @@
     r"""|/\*(?!!).*?\*/|--(?=\s|$)[^\n]*|\#[^\n]*""",
     re.DOTALL,
 )
-_FIRST_WORD = re.compile(r"[\s(]*([A-Za-z]+)")
-_READ_WORDS = frozenset({"select", "table", "values"})
-_SHOW_WORDS = frozenset({"show", "describe", "desc", "explain"})
-_DATA_WORDS = frozenset({"insert", "update", "delete", "replace", "call", "do"})
-_SCHEMA_WORDS = frozenset(
+_FIRST_KEYWORD = re.compile(r"[\s(]*([A-Za-z]+)")
+_READ_KEYWORDS = frozenset({"select", "table", "values"})
+_SHOW_KEYWORDS = frozenset({"show", "describe", "desc", "explain"})
+_DATA_KEYWORDS = frozenset(
+    {"insert", "update", "delete", "replace", "call", "do"}
+)
+_SCHEMA_KEYWORDS = frozenset(
     {"create", "alter", "drop", "truncate", "rename", "grant", "revoke"}
     | {"analyze", "optimize", "repair", "flush"}
 )
-_TRANSACTION_WORDS = frozenset({"savepoint", "release"})
-_UNSUPPORTED_WORDS = frozenset(
+_TRANSACTION_KEYWORDS = frozenset({"savepoint", "release"})
+_UNSUPPORTED_KEYWORDS = frozenset(
     {"lock", "unlock", "xa", "load", "prepare", "execute", "deallocate"}
     | {"handler", "kill", "shutdown", "reset", "change", "install"}
 )
 # Words that make a SELECT more than a plain read of committed data.
-_WRITING_READ = re.compile(
+_NON_PLAIN_READ = re.compile(
     r"\bfor\s+update\b|\bfor\s+share\b|\block\s+in\s+share\b|\binto\b"
     r"|/\*!|\bnextval\b|\bsleep\s*\(",
     re.IGNORECASE,
@@ -79,62 +81,68 @@
 
 
 def _classify(sql: str) -> Statement:
-    bare = _QUOTED.sub(" ", sql)
-    word = first_word(bare)
-    if not word:
-        empty = not bare.strip(" \t\r\n;")
+    unquoted = _QUOTED.sub(" ", sql)
+    keyword = first_keyword(unquoted)
+    if not keyword:
+        empty = not unquoted.strip(" \t\r\n;")
         return Statement(FrontKind.EMPTY if empty else FrontKind.WRITE)
-    if _has_second_statement(bare):
+    if _has_second_statement(unquoted):
         return Statement(FrontKind.MULTIPLE)
-    special = _special(sql, bare, word)
-    if special is not None:
-        return special
-    stateful = _STATEFUL.search(bare) is not None
-    return Statement(_data_kind(bare, word), stateful)
+    by_keyword = _classify_by_keyword(sql, unquoted, keyword)
+    if by_keyword is not None:
+        return by_keyword
+    stateful = _STATEFUL.search(unquoted) is not None
+    return Statement(_data_kind(unquoted, keyword), stateful)
 
 
 _classify_cached = functools.lru_cache(CACHE_ENTRIES)(_classify)
 
 
-def first_word(sql: str) -> str:
+def first_keyword(sql: str) -> str:
     """Return a statement's first word in lower case, or nothing.
 
     Args:
       sql: The statement, with or without comments.
     """
-    match = _FIRST_WORD.match(_QUOTED.sub(" ", sql))
+    match = _FIRST_KEYWORD.match(_QUOTED.sub(" ", sql))
     return match[1].lower() if match else ""
 
 
-def _has_second_statement(bare: str) -> bool:
-    _, separator, rest = bare.partition(";")
+def _has_second_statement(unquoted: str) -> bool:
+    _, separator, rest = unquoted.partition(";")
     return bool(separator and rest.strip(" \t\r\n;"))
 
 
-def _special(sql: str, bare: str, word: str) -> Statement | None:
-    match word:
+def _classify_by_keyword(
+    sql: str, unquoted: str, keyword: str
+) -> Statement | None:
+    match keyword:
         case "set":
             return Statement(FrontKind.SET)
         case "begin":
             return Statement(FrontKind.BEGIN)
-        case "start" if _START_TRANSACTION.match(bare):
+        case "start" if _START_TRANSACTION.match(unquoted):
             return Statement(FrontKind.BEGIN)
         case "commit":
-            return _ending(FrontKind.COMMIT, _PLAIN_COMMIT.match(bare))
-        case "rollback" if not _ROLLBACK_TO.match(bare):
-            return _ending(FrontKind.ROLLBACK, _PLAIN_ROLLBACK.match(bare))
+            return _transaction_end(
+                FrontKind.COMMIT, _PLAIN_COMMIT.match(unquoted)
+            )
+        case "rollback" if not _ROLLBACK_TO.match(unquoted):
+            return _transaction_end(
+                FrontKind.ROLLBACK, _PLAIN_ROLLBACK.match(unquoted)
+            )
         case "use":
             return _use(sql)
         case "show":
-            return _special_show(sql)
+            return _classify_show(sql)
         case "select":
-            return _special_select(sql)
-        case _ if word in _UNSUPPORTED_WORDS:
+            return _classify_select(sql)
+        case _ if keyword in _UNSUPPORTED_KEYWORDS:
             return Statement(FrontKind.UNSUPPORTED)
     return None
 
 
-def _ending(kind: FrontKind, plain: object) -> Statement:
+def _transaction_end(kind: FrontKind, plain: object) -> Statement:
     # COMMIT AND CHAIN and RELEASE would tie the session to one connection.
     return Statement(kind if plain else FrontKind.UNSUPPORTED)
 
@@ -146,7 +154,7 @@
     return Statement(FrontKind.USE, argument=match[1])
 
 
-def _special_show(sql: str) -> Statement | None:
+def _classify_show(sql: str) -> Statement | None:
     match = _SHOW_REQUEST.match(sql)
     if match is not None:
         return Statement(FrontKind.SHOW_REQUEST, argument=match[1] or match[2])
@@ -155,7 +163,7 @@
     return None
 
 
-def _special_select(sql: str) -> Statement | None:
+def _classify_select(sql: str) -> Statement | None:
     if _SESSION_TOKEN.match(sql):
         return Statement(FrontKind.SESSION_TOKEN)
     if _LAST_INSERT_ID.match(sql):
@@ -165,16 +173,18 @@
     return None
 
 
-def _data_kind(bare: str, word: str) -> FrontKind:
-    if word in _READ_WORDS:
-        writes = _WRITING_READ.search(bare) or _STATEFUL.search(bare)
+def _data_kind(unquoted: str, keyword: str) -> FrontKind:
+    if keyword in _READ_KEYWORDS:
+        writes = _NON_PLAIN_READ.search(unquoted) or _STATEFUL.search(unquoted)
         return FrontKind.WRITE if writes else FrontKind.READ
-    if word in _SHOW_WORDS:
-        runs = _ANALYZE.match(bare) and _WITH_WRITE.search(bare)
+    if keyword in _SHOW_KEYWORDS:
+        runs = _ANALYZE.match(unquoted) and _WITH_WRITE.search(unquoted)
         return FrontKind.WRITE if runs else FrontKind.READ
-    if word == "with":
-        writes = _WITH_WRITE.search(bare) or _WRITING_READ.search(bare)
+    if keyword == "with":
+        writes = _WITH_WRITE.search(unquoted) or _NON_PLAIN_READ.search(
+            unquoted
+        )
         return FrontKind.WRITE if writes else FrontKind.READ
-    if word in _SCHEMA_WORDS:
+    if keyword in _SCHEMA_KEYWORDS:
         return FrontKind.IMPLICIT_COMMIT
     return FrontKind.WRITE
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/options.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/options.py
@@ -12,8 +12,8 @@
 MAX_TOKEN_LENGTH = 512
 MAX_AGE_MS = 24 * 60 * 60 * 1000
 MAX_DEADLINE_MS = 60 * 60 * 1000
-_YES = frozenset({"yes", "true", "1", "on"})
-_NO = frozenset({"no", "false", "0", "off"})
+_TRUE_WORDS = frozenset({"yes", "true", "1", "on"})
+_FALSE_WORDS = frozenset({"no", "false", "0", "off"})
 
 
 @attrs.frozen
@@ -45,7 +45,7 @@
     repeatable: bool | None = None
     deadline_ms: int | None = None
 
-    def over(self, defaults: "Options") -> "Options":
+    def with_defaults(self, defaults: "Options") -> "Options":
         """Return these options, with defaults where they state nothing.
 
         Args:
@@ -55,12 +55,12 @@
             return self
         if self == NO_OPTIONS:
             return defaults
-        stated = {
+        explicit = {
             name: value
             for name, value in attrs.asdict(self).items()
             if value not in ("", None)
         }
-        return attrs.evolve(defaults, **stated)
+        return attrs.evolve(defaults, **explicit)
 
 
 NO_OPTIONS = Options()
@@ -70,41 +70,41 @@
     """A value cannot be read."""
 
 
-def _number(limit: int) -> Callable[[str], int]:
-    def read(text: str) -> int:
+def _integer_parser(limit: int) -> Callable[[str], int]:
+    def parse_integer(text: str) -> int:
         if not re.fullmatch(r"[0-9]{1,10}", text) or int(text) > limit:
             raise _Malformed(f"is not a whole number from 0 to {limit}")
         return int(text)
 
-    return read
+    return parse_integer
 
 
-def _flag(text: str) -> bool:
-    if text.lower() in _YES:
+def _parse_flag(text: str) -> bool:
+    if text.lower() in _TRUE_WORDS:
         return True
-    if text.lower() in _NO:
+    if text.lower() in _FALSE_WORDS:
         return False
     raise _Malformed("is not yes or no")
 
 
-def _request_id(text: str) -> str:
+def _parse_request_id(text: str) -> str:
     if not is_request_id(text):
         raise _Malformed("is not 1 to 64 letters, digits or ._:/-")
     return text
 
 
-def _session(text: str) -> str:
+def _parse_session_token(text: str) -> str:
     if len(text) > MAX_TOKEN_LENGTH:
         raise _Malformed(f"is longer than {MAX_TOKEN_LENGTH} characters")
     return text
 
 
-READERS: dict[str, Callable[[str], Any]] = {
-    "session": _session,
-    "max_age_ms": _number(MAX_AGE_MS),
-    "request_id": _request_id,
-    "repeatable": _flag,
-    "deadline_ms": _number(MAX_DEADLINE_MS),
+OPTION_PARSERS: dict[str, Callable[[str], Any]] = {
+    "session": _parse_session_token,
+    "max_age_ms": _integer_parser(MAX_AGE_MS),
+    "request_id": _parse_request_id,
+    "repeatable": _parse_flag,
+    "deadline_ms": _integer_parser(MAX_DEADLINE_MS),
 }
 
 
@@ -116,11 +116,11 @@
     """
     values = {}
     for name, text in pairs.items():
-        reader = READERS.get(name)
-        if reader is None:
+        parser = OPTION_PARSERS.get(name)
+        if parser is None:
             continue
         try:
-            values[name] = reader(text)
+            values[name] = parser(text)
         except _Malformed as error:
             return MalformedOption(f"option {name} {error}")
     return Options(**values) if values else NO_OPTIONS
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/set_statement.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/set_statement.py
@@ -54,12 +54,12 @@
     if _TRANSACTION.match(body):
         return (Assignment("transaction", body, text=body),)
     items = [item.strip() for item in _ITEMS.findall(body)]
-    assignments = tuple(_read_item(item) for item in items if item)
-    known = tuple(item for item in assignments if item is not None)
-    return known if known and len(known) == len(assignments) else None
+    assignments = tuple(_parse_item(item) for item in items if item)
+    parsed = tuple(item for item in assignments if item is not None)
+    return parsed if parsed and len(parsed) == len(assignments) else None
 
 
-def _read_item(item: str) -> Assignment | None:
+def _parse_item(item: str) -> Assignment | None:
     if _NAMES.match(item):
         return Assignment("names", item, text=item)
     match = _ASSIGNMENT.match(item)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/sql_comment.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/sql_comment.py
@@ -6,7 +6,7 @@
 
 from jackdawcrank.statements.options import (
     NO_OPTIONS,
-    READERS,
+    OPTION_PARSERS,
     MalformedOption,
     Options,
     decode_value,
@@ -17,7 +17,9 @@
 _PAIR = r"\s*([A-Za-z0-9_%.-]+)\s*=\s*'((?:[^'\\]|\\.)*)'\s*"
 _PAIRS = re.compile(rf"{_PAIR}(?:,{_PAIR})*,?\s*\Z")
 _ONE_PAIR = re.compile(_PAIR)
-_OPTION_NAME = re.compile(r"(?<![\w.%-])(" + "|".join(READERS) + r")\s*=")
+_OPTION_NAME = re.compile(
+    r"(?<![\w.%-])(" + "|".join(OPTION_PARSERS) + r")\s*="
+)
 
 
 @attrs.frozen
@@ -48,16 +50,16 @@
         return SplitStatement(sql, NO_OPTIONS)
     if not _PAIRS.match(match[1]):
         return MalformedOption("the options comment is malformed")
-    return _read_comment(sql[: match.start()].rstrip(), match[1])
+    return _parse_comment(sql[: match.start()].rstrip(), match[1])
 
 
-def _read_comment(sql: str, comment: str) -> SplitStatement | MalformedOption:
-    found = _ONE_PAIR.findall(comment)
-    names = [name for name, _ in found]
+def _parse_comment(sql: str, comment: str) -> SplitStatement | MalformedOption:
+    pairs = _ONE_PAIR.findall(comment)
+    names = [name for name, _ in pairs]
     repeated = {name for name in names if names.count(name) > 1}
-    if repeated & READERS.keys():
+    if repeated & OPTION_PARSERS.keys():
         return MalformedOption(f"option {min(repeated)} stands twice")
-    options = read_options({k: decode_value(v) for k, v in found})
+    options = read_options({k: decode_value(v) for k, v in pairs})
     if isinstance(options, MalformedOption):
         return options
     return SplitStatement(sql, options)
--- a/packages/jackdawcrank-proxy/tests/statements/test_classify.py
+++ b/packages/jackdawcrank-proxy/tests/statements/test_classify.py
@@ -49,11 +49,11 @@
     assert classify(sql).kind is kind
 
 
-def test_session_state_is_noticed() -> None:
+def test_statements_with_session_state_are_stateful() -> None:
     assert classify("CREATE TEMPORARY TABLE t (a INT)").stateful
     assert not classify("INSERT INTO t VALUES ('@x')").stateful
     assert not classify("SELECT @@version").stateful
 
 
-def test_request_id_is_taken_from_show_request() -> None:
+def test_show_request_carries_the_request_id() -> None:
     assert classify('show request "a:1"').argument == "a:1"
--- a/packages/jackdawcrank-proxy/tests/statements/test_fuzz_statements.py
+++ b/packages/jackdawcrank-proxy/tests/statements/test_fuzz_statements.py
@@ -11,10 +11,10 @@
     split_options,
 )
 
-short = hypothesis.settings(
+FUZZ_SETTINGS = hypothesis.settings(
     derandomize=True, max_examples=500, deadline=None, database=None
 )
-WRITING_WORDS = (
+WRITE_KEYWORDS = (
     "insert",
     "UPDATE",
     "delete",
@@ -29,7 +29,7 @@
     "lock",
     "handler",
 )
-WRITING_PARTS = (
+WRITE_CLAUSES = (
     "for update",
     "FOR\tUPDATE",
     "for /* a */ update",
@@ -53,8 +53,10 @@
     '"#"',
 )
 PLAIN = ("1", "a", "+", "(2)", "FROM t", "WHERE b = 3", ",", "--1", "\n", "\t")
-pieces = st.lists(st.sampled_from(QUOTED + PLAIN), max_size=8).map(" ".join)
-leads = st.lists(
+sql_fragments = st.lists(st.sampled_from(QUOTED + PLAIN), max_size=8).map(
+    " ".join
+)
+leading_text = st.lists(
     st.sampled_from(["/* a */", "-- b\n", "# c\n", " ", "\n", "("]), max_size=4
 ).map("".join)
 sql_texts = st.text(
@@ -72,7 +74,7 @@
 )
 
 
-@short
+@FUZZ_SETTINGS
 @hypothesis.given(sql=any_text)
 def test_any_text_is_taken(sql: str) -> None:
     assert isinstance(classify(sql).kind, FrontKind)
@@ -82,21 +84,23 @@
     assert items is None or items
 
 
-@short
-@hypothesis.given(lead=leads, word=st.sampled_from(WRITING_WORDS), rest=pieces)
+@FUZZ_SETTINGS
+@hypothesis.given(
+    lead=leading_text, word=st.sampled_from(WRITE_KEYWORDS), rest=sql_fragments
+)
 def test_a_writing_word_at_the_start_is_no_read(
     lead: str, word: str, rest: str
 ) -> None:
     assert classify(f"{lead}{word} {rest}").kind is not FrontKind.READ
 
 
-@short
+@FUZZ_SETTINGS
 @hypothesis.given(
-    lead=leads,
+    lead=leading_text,
     word=st.sampled_from(["select", "SELECT", "with a as (select 1) select"]),
-    before=pieces,
-    part=st.sampled_from(WRITING_PARTS),
-    after=pieces,
+    before=sql_fragments,
+    part=st.sampled_from(WRITE_CLAUSES),
+    after=sql_fragments,
 )
 def test_a_locking_or_storing_select_is_no_read(
     lead: str, word: str, before: str, part: str, after: str
@@ -105,7 +109,7 @@
     assert classify(sql).kind is not FrontKind.READ
 
 
-@short
+@FUZZ_SETTINGS
 @hypothesis.given(
     explain=st.sampled_from(
         ["explain analyze", "EXPLAIN  ANALYZE", "desc analyze"]
@@ -116,9 +120,10 @@
     assert classify(f"{explain} {word}").kind is not FrontKind.READ
 
 
-@short
+@FUZZ_SETTINGS
 @hypothesis.given(
-    before=pieces, second=st.sampled_from(["delete from t", "drop table t"])
+    before=sql_fragments,
+    second=st.sampled_from(["delete from t", "drop table t"]),
 )
 def test_a_second_statement_is_no_read(before: str, second: str) -> None:
     sql = f"select {before} ; {second}"
--- a/packages/jackdawcrank-proxy/tests/statements/test_sql_comment.py
+++ b/packages/jackdawcrank-proxy/tests/statements/test_sql_comment.py
@@ -29,7 +29,7 @@
         "SELECT '/*max_age_ms=1*/'",
     ],
 )
-def test_other_comments_stay(sql: str) -> None:
+def test_comments_without_options_are_kept(sql: str) -> None:
     assert split_options(sql) == SplitStatement(sql, Options())
 
 
@@ -53,7 +53,7 @@
     assert isinstance(outcome, MalformedOption)
 
 
-def test_set_items_are_told_apart() -> None:
+def test_set_items_are_parsed() -> None:
     items = parse_set("SET @max_age_ms = 5, SESSION sql_mode='a,b', NAMES utf8")
     assert items is not None
     assert [(i.name, i.value, i.user) for i in items] == [
@@ -63,11 +63,11 @@
     ]
 
 
-def test_global_scope_is_noticed() -> None:
+def test_global_and_persist_set_global_scope() -> None:
     for sql in ("SET GLOBAL a = 1", "SET @@global.a = 1", "SET PERSIST a = 1"):
         (item,) = parse_set(sql) or ()
         assert item.is_global
 
 
-def test_other_forms_are_not_guessed() -> None:
+def test_unsupported_set_form_returns_none() -> None:
     assert parse_set("SET PASSWORD FOR 'x'") is None
