--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_reader.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_reader.py
@@ -12,10 +12,10 @@
     store: StoreClient, version: int
 ) -> Change | Absent | StoreUnavailable:
     """Read one change; absent if not made yet or deleted by compaction."""
-    answer = await store.get("changes", change_key(version))
-    if isinstance(answer, Row):
-        return change_from(answer)
-    return answer
+    result = await store.get("changes", change_key(version))
+    if isinstance(result, Row):
+        return change_from(result)
+    return result
 
 
 async def read_changes(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/channel.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/channel.py
@@ -188,17 +188,17 @@
         self.traffic.reads += request.reads
         try:
             async with asyncio.timeout(left):
-                answer = await self.transfer(session, request)
+                store_response = await self.transfer(session, request)
         except TRANSPORT_ERRORS as error:
             refused = isinstance(error, aiohttp.ClientConnectorError)
             detail = f"{type(error).__name__}: {error}".strip(": ")
             return StoreUnavailable(maybe_applied and not refused, detail)
         if self.clock() > deadline:
             return StoreUnavailable(maybe_applied, "the answer came too late")
-        if answer.status >= SERVER_ERROR:
-            detail = f"the store answered {answer.status}"
+        if store_response.status >= SERVER_ERROR:
+            detail = f"the store answered {store_response.status}"
             return StoreUnavailable(maybe_applied, detail)
-        return answer
+        return store_response
 
     async def transfer(
         self, session: aiohttp.ClientSession, request: Request
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/client.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/client.py
@@ -90,12 +90,12 @@
     ) -> Row | Absent | StoreUnavailable:
         """Read a row."""
         path = f"/tables/{quote(table, safe='')}/{quote(key, safe='/')}"
-        answer = await self.read(path)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status == NOT_FOUND:
+        response = await self.read(path)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status == NOT_FOUND:
             return Absent()
-        return decode_response(answer, lambda body: row(key, body))
+        return decode_response(response, lambda body: row(key, body))
 
     async def scan(
         self, table: str, after: str = "", limit: int = 200
@@ -108,10 +108,10 @@
           limit: The most rows to return.
         """
         query = urlencode({"after": after, "limit": limit})
-        answer = await self.read(f"/tables/{quote(table, safe='')}?{query}")
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        return decode_response(answer, page)
+        response = await self.read(f"/tables/{quote(table, safe='')}?{query}")
+        if isinstance(response, StoreUnavailable):
+            return response
+        return decode_response(response, page)
 
     async def transact(
         self, transaction: Transaction
@@ -125,25 +125,25 @@
             body,
             JSON_HEADERS,
         )
-        answer = await self.channel.send(request)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status == CONFLICT:
-            return decode_response(answer, conflict, maybe_applied=False)
-        return decode_response(answer, committed, maybe_applied=True)
+        response = await self.channel.send(request)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status == CONFLICT:
+            return decode_response(response, conflict, maybe_applied=False)
+        return decode_response(response, committed, maybe_applied=True)
 
     async def get_object(
         self, name: str
     ) -> StoredObject | Absent | StoreUnavailable:
         """Read an object."""
-        answer = await self.object_request("GET", name)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status == NOT_FOUND:
+        response = await self.object_request("GET", name)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status == NOT_FOUND:
             return Absent()
-        if answer.status != OK:
-            return unexpected_status(answer)
-        return StoredObject(answer.body, answer.etag)
+        if response.status != OK:
+            return unexpected_status(response)
+        return StoredObject(response.body, response.etag)
 
     async def put_object(
         self,
@@ -163,45 +163,45 @@
         headers = {"If-Match": if_match} if if_match is not None else {}
         if create_only:
             headers["If-None-Match"] = "*"
-        answer = await self.object_request("PUT", name, data, headers)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status == PRECONDITION_FAILED:
+        response = await self.object_request("PUT", name, data, headers)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status == PRECONDITION_FAILED:
             return PreconditionFailed()
-        if answer.status not in SUCCESS_STATUSES:
-            return unexpected_status(answer, maybe_applied=True)
-        return ObjectWritten(answer.etag)
+        if response.status not in SUCCESS_STATUSES:
+            return unexpected_status(response, maybe_applied=True)
+        return ObjectWritten(response.etag)
 
     async def delete_object(self, name: str) -> Deleted | StoreUnavailable:
         """Remove an object; one that is not there counts as removed."""
-        answer = await self.object_request("DELETE", name)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status not in (*SUCCESS_STATUSES, NOT_FOUND):
-            return unexpected_status(answer, maybe_applied=True)
+        response = await self.object_request("DELETE", name)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status not in (*SUCCESS_STATUSES, NOT_FOUND):
+            return unexpected_status(response, maybe_applied=True)
         return Deleted()
 
     async def list_objects(
         self, prefix: str
     ) -> tuple[str, ...] | StoreUnavailable:
         """Return the names of the objects that begin with a prefix."""
-        answer = await self.read(f"/objects?{urlencode({'prefix': prefix})}")
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        return decode_response(answer, object_names)
+        response = await self.read(f"/objects?{urlencode({'prefix': prefix})}")
+        if isinstance(response, StoreUnavailable):
+            return response
+        return decode_response(response, object_names)
 
     async def list_vms(self) -> tuple[Vm, ...] | StoreUnavailable:
         """Return the platform's list of VMs, which lags."""
-        etag, known = self.vms
+        etag, cached_vms = self.vms
         headers = {"If-None-Match": etag} if etag else {}
-        answer = await self.read("/vms", headers)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status == NOT_MODIFIED:
-            return known
-        vms = decode_response(answer, vm_list)
+        response = await self.read("/vms", headers)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status == NOT_MODIFIED:
+            return cached_vms
+        vms = decode_response(response, vm_list)
         if not isinstance(vms, StoreUnavailable):
-            self.vms = (answer.etag, vms)
+            self.vms = (response.etag, vms)
         return vms
 
     async def read(
@@ -227,25 +227,25 @@
 
 
 def decode_response(
-    answer: StoreResponse,
+    response: StoreResponse,
     decode: Callable[[Any], T],
     maybe_applied: bool = False,
 ) -> T | StoreUnavailable:
     """Return what an answer's JSON means, or that it is of no use."""
-    if answer.status not in (OK, CONFLICT):
-        return unexpected_status(answer)
+    if response.status not in (OK, CONFLICT):
+        return unexpected_status(response)
     try:
-        return decode(answer.document())
+        return decode(response.document())
     except DECODE_ERRORS as error:
         detail = f"malformed answer: {error!r}"
         return StoreUnavailable(maybe_applied, detail)
 
 
 def unexpected_status(
-    answer: StoreResponse, maybe_applied: bool = False
+    response: StoreResponse, maybe_applied: bool = False
 ) -> StoreUnavailable:
     """Return the outcome for a status that the contract does not name."""
-    detail = f"the store answered {answer.status}: {answer.body[:200]!r}"
+    detail = f"the store answered {response.status}: {response.body[:200]!r}"
     return StoreUnavailable(maybe_applied, detail)
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/group_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/group_rows.py
@@ -40,28 +40,28 @@
         A claim that is repeated after a lost answer finds the row that it
         had written and counts as stored.
         """
-        answer = await self.change_log.append_group_row(
+        result = await self.change_log.append_group_row(
             new.group,
             encode_group_row(new),
             lambda row: decode_optional_row(row) == expected,
             self.actor,
         )
-        if isinstance(answer, Appended):
-            return Stored(answer.version)
-        if isinstance(answer, ChangeConflict):
-            return claim_outcome(answer, new)
-        if isinstance(answer, outcome.StoreUnavailable):
-            return StoreUnavailable(answer.detail)
-        raise TypeError(f"not an outcome of a claim: {answer!r}")
+        if isinstance(result, Appended):
+            return Stored(result.version)
+        if isinstance(result, ChangeConflict):
+            return claim_outcome(result, new)
+        if isinstance(result, outcome.StoreUnavailable):
+            return StoreUnavailable(result.detail)
+        raise TypeError(f"not an outcome of a claim: {result!r}")
 
     async def read(self, group: str) -> GroupRow | None | StoreUnavailable:
         """Return a group's row as it stands in the store."""
-        answer = await self.store.get("groups", group)
-        if isinstance(answer, outcome.StoreUnavailable):
-            return StoreUnavailable(answer.detail)
-        if isinstance(answer, outcome.Absent):
+        result = await self.store.get("groups", group)
+        if isinstance(result, outcome.StoreUnavailable):
+            return StoreUnavailable(result.detail)
+        if isinstance(result, outcome.Absent):
             return None
-        row = decode_group_row(answer.value)
+        row = decode_group_row(result.value)
         if row is None:
             return StoreUnavailable(f"the row of {group} is malformed")
         return row
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/head.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/head.py
@@ -36,12 +36,12 @@
 
 async def read_head(store: StoreClient) -> Head | StoreUnavailable:
     """Read the head of the change log."""
-    answer = await store.get(HEAD, HEAD)
-    if isinstance(answer, StoreUnavailable):
-        return answer
-    if isinstance(answer, Absent):
+    result = await store.get(HEAD, HEAD)
+    if isinstance(result, StoreUnavailable):
+        return result
+    if isinstance(result, Absent):
         return Head()
-    return head_from(answer)
+    return head_from(result)
 
 
 def head_from(row: Row) -> Head | StoreUnavailable:
--- a/packages/jackdawcrank-proxy/tests/store/test_breaker.py
+++ b/packages/jackdawcrank-proxy/tests/store/test_breaker.py
@@ -21,12 +21,12 @@
         breaker.record_failure(now)
 
 
-def test_a_few_failures_stop_nothing(breaker: CircuitBreaker) -> None:
+def test_breaker_stays_closed_below_threshold(breaker: CircuitBreaker) -> None:
     fail(breaker, FAILURE_THRESHOLD - 1)
     assert breaker.allow_request(0.0)
 
 
-def test_an_open_breaker_lets_one_request_try(
+def test_open_breaker_allows_one_probe(
     breaker: CircuitBreaker,
 ) -> None:
     fail(breaker, FAILURE_THRESHOLD)
@@ -36,7 +36,7 @@
     assert not breaker.allow_request(breaker.open_until + 1)
 
 
-def test_an_answer_closes_the_breaker(breaker: CircuitBreaker) -> None:
+def test_success_closes_the_breaker(breaker: CircuitBreaker) -> None:
     fail(breaker, FAILURE_THRESHOLD)
     assert breaker.allow_request(MAX_OPEN_SECONDS)
     breaker.record_success()
@@ -44,7 +44,7 @@
     assert breaker.allow_request(MAX_OPEN_SECONDS)
 
 
-def test_an_abandoned_try_leaves_room_for_another(
+def test_cancelled_probe_allows_another(
     breaker: CircuitBreaker,
 ) -> None:
     fail(breaker, FAILURE_THRESHOLD)
--- a/packages/jackdawcrank-proxy/tests/store/test_change_log.py
+++ b/packages/jackdawcrank-proxy/tests/store/test_change_log.py
@@ -33,19 +33,19 @@
     return {"spec": {"slotsPerServer": slots}}
 
 
-async def logged(client: StoreClient) -> tuple[Change, ...]:
+async def read_log(client: StoreClient) -> tuple[Change, ...]:
     changes = await read_changes(client, 0)
     assert not isinstance(changes, StoreUnavailable)
     return changes
 
 
-async def test_a_change_moves_head_log_and_row(
+async def test_append_writes_head_change_and_row(
     client: StoreClient, change_log: ChangeLog, platform: Platform
 ) -> None:
     outcome = await change_log.append(GROUP, "a", body(3), 0, "ada")
     assert isinstance(outcome, Appended)
     assert await read_head(client) == Head(1, None, 1, 1)
-    (change,) = await logged(client)
+    (change,) = await read_log(client)
     assert change.actor == "ada"
     assert change.token == outcome.change.token
     row = platform.tables.get("resources", "DatabaseGroup/a")
@@ -60,10 +60,12 @@
     outcome = await change_log.append(GROUP, "a", None, 1, "ada")
     assert isinstance(outcome, Appended)
     assert platform.tables.get("resources", "DatabaseGroup/a") is None
-    assert (await logged(client))[-1].deleted
+    assert (await read_log(client))[-1].deleted
 
 
-async def test_a_conflict_names_who_and_what(change_log: ChangeLog) -> None:
+async def test_conflict_carries_author_and_current_row(
+    change_log: ChangeLog,
+) -> None:
     await change_log.append(GROUP, "a", body(3), 0, "ada")
     await change_log.append(GROUP, "a", body(4), 1, "ben")
     outcome = await change_log.append(GROUP, "a", body(5), 1, "ada")
@@ -79,19 +81,19 @@
     await change_log.append(GROUP, "a", body(3), 0, "ada")
     outcome = await change_log.append(GROUP, "a", body(3), 0, "ada")
     assert outcome == Unchanged(1, "ada")
-    assert len(await logged(client)) == 1
+    assert len(await read_log(client)) == 1
 
 
-async def test_a_lost_answer_is_settled(
+async def test_lost_response_is_resolved(
     client: StoreClient, change_log: ChangeLog, platform: Platform
 ) -> None:
     platform.faults.lose_answers = 1
     outcome = await change_log.append(GROUP, "a", body(3), 0, "ada")
     assert isinstance(outcome, Appended)
-    assert [change.version for change in await logged(client)] == [1]
+    assert [change.version for change in await read_log(client)] == [1]
 
 
-async def test_an_outage_is_reported_as_not_made(
+async def test_outage_is_reported_as_not_applied(
     change_log: ChangeLog, platform: Platform
 ) -> None:
     platform.faults.stop(StopMode.REFUSE)
@@ -100,7 +102,7 @@
     assert not outcome.maybe_applied
 
 
-async def test_a_write_that_stays_unsettled_says_so(
+async def test_unresolved_write_is_reported_as_maybe_applied(
     client: StoreClient,
     change_log: ChangeLog,
     platform: Platform,
@@ -108,14 +110,14 @@
 ) -> None:
     transact = StoreClient.transact
 
-    async def stop_after(
+    async def transact_then_stop(
         self: StoreClient, transaction: Transaction
     ) -> Committed | Conflict | StoreUnavailable:
         await transact(self, transaction)
         platform.faults.stop(StopMode.REFUSE)
         return StoreUnavailable(True, "lost")
 
-    monkeypatch.setattr(StoreClient, "transact", stop_after)
+    monkeypatch.setattr(StoreClient, "transact", transact_then_stop)
     change_log.append_seconds = 0.1
     outcome = await change_log.append(GROUP, "a", body(3), 0, "ada")
     assert isinstance(outcome, StoreUnavailable)
@@ -131,32 +133,34 @@
     """Loses transactions, their answers, or delays them past their answer."""
 
     faults: random.Random
-    late: list[asyncio.Task[Any]]
+    delayed: list[asyncio.Task[Any]]
 
     async def transact(
         self, transaction: Transaction
     ) -> Committed | Conflict | StoreUnavailable:
-        fate = self.faults.choice(["done", "unsent", "unanswered", "late"])
-        if fate == "done":
+        fault = self.faults.choice(["done", "unsent", "unanswered", "late"])
+        if fault == "done":
             return await super().transact(transaction)
-        if fate == "unanswered":
+        if fault == "unanswered":
             await super().transact(transaction)
-        if fate == "late":
-            self.late.append(asyncio.create_task(self.send_late(transaction)))
-        return StoreUnavailable(True, fate)
+        if fault == "late":
+            self.delayed.append(
+                asyncio.create_task(self.send_delayed(transaction))
+            )
+        return StoreUnavailable(True, fault)
 
-    async def send_late(self, transaction: Transaction) -> None:
+    async def send_delayed(self, transaction: Transaction) -> None:
         await asyncio.sleep(self.faults.uniform(0, 0.02))
         await super().transact(transaction)
 
 
 @pytest.mark.parametrize("seed", range(6))
-async def test_racing_writers_with_lost_answers_write_once(
+async def test_concurrent_writers_with_lost_responses_write_once(
     platform: Platform, seed: int
 ) -> None:
     limits = StoreLimits(per_second=1e6, burst=1e6)
     client = LossyStore(platform.url, limits=limits)
-    client.faults, client.late = random.Random(seed), []
+    client.faults, client.delayed = random.Random(seed), []
     await client.start()
 
     async def write(writer: int) -> list[tuple[str, object]]:
@@ -174,8 +178,8 @@
         return found
 
     results = await asyncio.gather(*(write(n) for n in range(WRITERS)))
-    await asyncio.gather(*client.late)
-    changes = await logged(client)
+    await asyncio.gather(*client.delayed)
+    changes = await read_log(client)
     head = await read_head(client)
     await client.close()
 
--- a/packages/jackdawcrank-proxy/tests/store/test_client.py
+++ b/packages/jackdawcrank-proxy/tests/store/test_client.py
@@ -53,7 +53,7 @@
     assert outcome == Conflict((ConflictingRow("t", "k", 1, 1),))
 
 
-async def test_a_scan_goes_on_after_a_key(client: StoreClient) -> None:
+async def test_scan_starts_after_a_key(client: StoreClient) -> None:
     for key in ("a", "b", "c"):
         await client.transact(put(key, key))
     page = await client.scan("t", after="a", limit=1)
@@ -62,7 +62,9 @@
     assert page.more
 
 
-async def test_objects_honour_their_conditions(client: StoreClient) -> None:
+async def test_object_writes_check_their_preconditions(
+    client: StoreClient,
+) -> None:
     written = await client.put_object("p/o", b"1", create_only=True)
     assert isinstance(written, ObjectWritten)
     again = await client.put_object("p/o", b"2", create_only=True)
@@ -82,7 +84,7 @@
 
 
 @pytest.mark.parametrize("mode", [StopMode.REFUSE, StopMode.HANG])
-async def test_an_outage_is_a_value(
+async def test_outage_is_returned_as_store_unavailable(
     client: StoreClient, platform: Platform, mode: StopMode
 ) -> None:
     platform.faults.stop(mode)
@@ -98,7 +100,7 @@
     assert write.maybe_applied
 
 
-async def test_a_write_that_was_never_sent_is_certain(
+async def test_refused_connection_is_not_maybe_applied(
     client: StoreClient, platform: Platform
 ) -> None:
     await platform.close()
@@ -107,7 +109,7 @@
     assert not outcome.maybe_applied
 
 
-async def test_a_lost_answer_may_have_been_applied(
+async def test_lost_response_is_maybe_applied(
     client: StoreClient, platform: Platform
 ) -> None:
     platform.faults.lose_answers = 1
@@ -117,7 +119,7 @@
     assert await client.get("t", "k") == Row("k", 1, 1)
 
 
-async def test_an_answer_after_a_pause_is_not_used(
+async def test_response_after_its_deadline_is_discarded(
     platform: Platform,
 ) -> None:
     times = iter([0.0] * 6 + [FAR_FUTURE_SECONDS] * 20)
@@ -131,27 +133,27 @@
     await client.close()
 
 
-async def test_a_read_on_a_silent_connection_is_sent_again(
+async def test_read_on_a_silent_connection_is_hedged(
     client: StoreClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     await client.transact(put("k", 1))
     transfer = Channel.transfer
     calls = 0
 
-    async def silent_at_first(self: Channel, *args: object) -> object:
+    async def hang_first_call(self: Channel, *args: object) -> object:
         nonlocal calls
         calls += 1
         if calls == 1:
             await asyncio.Event().wait()
         return await transfer(self, *args)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(Channel, "transfer", silent_at_first)
+    monkeypatch.setattr(Channel, "transfer", hang_first_call)
     client.channel.limits = StoreLimits(hedge_delay_seconds=0.01)
     assert await client.get("t", "k") == Row("k", 1, 1)
     assert calls == 2
 
 
-async def test_a_failing_store_is_left_alone(
+async def test_open_breaker_refuses_requests(
     client: StoreClient, platform: Platform
 ) -> None:
     platform.faults.stop(StopMode.REFUSE)
@@ -184,13 +186,13 @@
 
 
 @pytest.mark.parametrize("text", [b"{", b"[]", b"{}", b'{"value": 1}'])
-async def test_a_malformed_answer_is_a_failure(
+async def test_malformed_response_is_store_unavailable(
     client: StoreClient, monkeypatch: pytest.MonkeyPatch, text: bytes
 ) -> None:
-    async def garbled(self: Channel, *args: object) -> StoreResponse:
+    async def malformed_response(self: Channel, *args: object) -> StoreResponse:
         return StoreResponse(200, text, {})
 
-    monkeypatch.setattr(Channel, "transfer", garbled)
+    monkeypatch.setattr(Channel, "transfer", malformed_response)
     read = await client.get("t", "k")
     assert isinstance(read, StoreUnavailable)
     assert not read.maybe_applied
--- a/packages/jackdawcrank-proxy/tests/store/test_group_rows.py
+++ b/packages/jackdawcrank-proxy/tests/store/test_group_rows.py
@@ -34,19 +34,19 @@
     return GroupRows(client, change_log, "vm-1")
 
 
-async def test_a_row_survives_the_store(rows: GroupRows) -> None:
+async def test_stored_row_is_read_back(rows: GroupRows) -> None:
     assert await rows.read("g") is None
     assert await rows.claim(None, ROW) == Stored(1)
     assert await rows.read("g") == ROW
 
 
-async def test_a_claim_on_an_old_row_is_refused(rows: GroupRows) -> None:
+async def test_claim_on_an_outdated_row_conflicts(rows: GroupRows) -> None:
     await rows.claim(None, ROW)
     newer = attrs.evolve(ROW, term=2, coordinator="vm-2")
     assert await rows.claim(ROW, newer) == Stored(2)
-    rival = attrs.evolve(ROW, term=2, coordinator="vm-1")
-    assert await rows.claim(ROW, rival) == Conflict(newer)
-    assert await rows.claim(None, rival) == Conflict(newer)
+    competing = attrs.evolve(ROW, term=2, coordinator="vm-1")
+    assert await rows.claim(ROW, competing) == Conflict(newer)
+    assert await rows.claim(None, competing) == Conflict(newer)
 
 
 async def test_a_repeated_claim_counts_as_stored(rows: GroupRows) -> None:
@@ -56,7 +56,7 @@
     assert await rows.claim(ROW, newer) == Stored(2)
 
 
-async def test_a_lost_answer_does_not_lose_the_claim(
+async def test_claim_survives_a_lost_response(
     rows: GroupRows, platform: Platform
 ) -> None:
     platform.faults.lose_answers = 1
