--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's services and the change log kept in them."""
+"""Client of the platform's store, and the change log stored there."""
 
 from jackdawcrank.store.append_outcome import (
     Appended,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/append_outcome.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/append_outcome.py
@@ -1,4 +1,4 @@
-"""What can come of a write to the change log."""
+"""Outcomes of an append to the change log."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -13,8 +13,8 @@
     """The change is committed.
 
     Attributes:
-      version: Its version.
-      change: The change.
+      version: The version of the change.
+      change: The committed change.
     """
 
     version: int
@@ -23,13 +23,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class ChangeConflict:
-    """The row is not as the writer expected; nothing was written.
+    """The row does not match the expected state; nothing was written.
 
     Attributes:
       current: The row's value; None if there is no row.
-      actor: Who wrote it; empty if that is no longer known.
-      version: The version of the change that wrote it; 0 for no row.
-      at: When it was written, in seconds since the epoch.
+      actor: The actor of the last change; empty if its entry is gone from the
+        change log.
+      version: The version of the last change; 0 if there is no row.
+      at: The time of the last change, in seconds since the epoch.
     """
 
     current: Mapping[str, Any] | None
@@ -40,11 +41,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unchanged:
-    """The resource already is as the writer wants it; nothing was written.
+    """The resource already has the requested state; nothing was written.
 
     Attributes:
-      version: The version of the change that made it so.
-      actor: Who made that change; empty if that is no longer known.
+      version: The version of the change that set this state.
+      actor: The actor of that change; empty if its entry is gone from the
+        change log.
     """
 
     version: int
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/breaker.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/breaker.py
@@ -1,4 +1,4 @@
-"""Stops asking a store that does not answer."""
+"""Circuit breaker for requests to the store."""
 
 import random
 
@@ -11,15 +11,17 @@
 
 @attrs.define
 class CircuitBreaker:
-    """Opens after some failures in a row, for a random growing pause.
+    """Opens after `FAILURE_THRESHOLD` consecutive failures.
 
-    After the pause one request at a time may try again.
+    It stays open for a random time whose upper bound doubles with each
+    further failure, up to `MAX_OPEN_SECONDS`. After that, one probe at a
+    time is allowed.
 
     Attributes:
-      rng: The source of the pauses' jitter.
-      failures: Failures in a row.
-      open_until: When the next try may be made.
-      probe_in_flight: Whether the single try after a pause is under way.
+      rng: The random source of the jitter.
+      failures: The number of consecutive failures.
+      open_until: The earliest time of the next probe, in monotonic seconds.
+      probe_in_flight: Whether a probe has been sent and has no outcome yet.
     """
 
     rng: random.Random
@@ -28,7 +30,7 @@
     probe_in_flight: bool = False
 
     def allow_request(self, now: float) -> bool:
-        """Return whether a request may be sent, and count it as sent."""
+        """Return whether a request may be sent; a probe counts as sent."""
         if self.failures < FAILURE_THRESHOLD:
             return True
         if now < self.open_until or self.probe_in_flight:
@@ -37,11 +39,11 @@
         return True
 
     def record_success(self) -> None:
-        """Record an answer."""
+        """Record a usable response and close the breaker."""
         self.failures, self.probe_in_flight = 0, False
 
     def record_failure(self, now: float) -> None:
-        """Record that no usable answer came."""
+        """Record a request without a usable response."""
         self.failures += 1
         self.probe_in_flight = False
         extra_failures = self.failures - FAILURE_THRESHOLD
@@ -51,5 +53,5 @@
             self.open_until = now + pause
 
     def record_cancellation(self) -> None:
-        """Record that a request was given up without a verdict."""
+        """Record a request that was cancelled before its outcome."""
         self.probe_in_flight = False
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_codec.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_codec.py
@@ -1,4 +1,4 @@
-"""Converts changes from and to the rows of the table `changes`."""
+"""Converts changes to and from rows of the table `changes`."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 def encode_change(change: Change) -> dict[str, Any]:
-    """Return the row of a change."""
+    """Return the JSON value of a change's row."""
     return {
         "token": change.token,
         "kind": change.kind,
@@ -29,14 +29,15 @@
 
 
 def decode_change(version: int, row: Mapping[str, Any]) -> Change:
-    """Return the change in a row.
+    """Return the change stored in a row.
 
     Args:
       version: The change's version, which is its key.
-      row: The JSON value.
+      row: The row's JSON value.
 
     Raises:
-      KeyError: A key of the contract is missing.
+      KeyError: A required key is missing.
+      TypeError, ValueError: A value has the wrong type.
     """
     kind, name = str(row["kind"]), str(row["name"])
     deleted = bool(row["deleted"])
@@ -57,7 +58,7 @@
 def typed_value(
     kind: str, name: str, document: Mapping[str, Any]
 ) -> Value | None:
-    """Return the value that a row stands for; None if it can't be read."""
+    """Return the decoded value of a row; None if it is malformed."""
     if kind == Kind.GROUP_ROW:
         return decode_group_row(document)
     return stored_policy_value(kind, name, document)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_log.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_log.py
@@ -1,4 +1,4 @@
-"""Writes to the change log, the single order of all changes."""
+"""Appends to the change log, the total order of all changes."""
 
 import asyncio
 import random
@@ -47,17 +47,17 @@
 class ChangeLog:
     """Appends changes, each at most once.
 
-    A lost answer is settled by sending the very same transaction again,
-    which its check of the head lets through once at most, and by looking
-    for the write's own token in the change log.
+    After a lost response the same transaction is sent again. Its check of
+    the head lets it commit at most once. If the check fails, the token of
+    the change log entry shows whether the first attempt was committed.
 
     Attributes:
       store: The store.
-      clock: Monotonic seconds.
-      wall_clock: Seconds since the epoch.
-      rng: The source of jitter.
-      append_seconds: How long one append may take.
-      new_token: Makes the token of a write.
+      clock: Returns monotonic seconds.
+      wall_clock: Returns seconds since the epoch.
+      rng: The random source of the jitter.
+      append_seconds: The timeout of one append.
+      new_token: Returns a unique token for a write.
     """
 
     store: StoreClient
@@ -79,11 +79,11 @@
 
         Args:
           kind: The resource's kind.
-          name: Its name.
-          body: The new row without its version; None deletes it.
-          expected: The resource version that it must have; 0 if it must not
+          name: The resource's name.
+          body: The new row without its version; None deletes the row.
+          expected: The required resource version; 0 if the resource must not
             exist, None for any.
-          actor: Who makes the change.
+          actor: The user or VM that makes the change.
         """
         write = Write(kind, name, body, actor, self.new_token())
         return await self.run(write, version_precondition(expected))
@@ -95,7 +95,7 @@
         expected: RowPrecondition,
         actor: str,
     ) -> AppendOutcome:
-        """Change a group's row if it is as expected."""
+        """Change a group's row if it meets a precondition."""
         token = self.new_token()
         body = {**body, "token": token}
         write = Write(Kind.GROUP_ROW, name, body, actor, token)
@@ -104,14 +104,16 @@
     async def run(
         self, write: Write, expected: RowPrecondition
     ) -> AppendOutcome:
-        """Append a write, trying again until its time has run out."""
+        """Append a write, retrying until its deadline."""
         deadline = self.clock() + self.append_seconds
         outcome: AppendOutcome | None = None
         attempt = 0
         while outcome is None:
             outcome = await self.attempt(write, expected, deadline)
             if outcome is None and not await self.back_off(attempt, deadline):
-                detail = "other changes kept coming first"
+                detail = (
+                    "other writers changed the log first until the deadline"
+                )
                 outcome = StoreUnavailable(False, detail)
             attempt += 1
         return outcome
@@ -119,7 +121,7 @@
     async def attempt(
         self, write: Write, expected: RowPrecondition, deadline: float
     ) -> AppendOutcome | None:
-        """Append a write at the present head; None if the head moved on."""
+        """Append a write after the current head; None if the head changed."""
         head, row = await asyncio.gather(
             read_head(self.store), self.store.get(write.table, write.key)
         )
@@ -137,7 +139,7 @@
         return await self.submit(transaction, change, deadline)
 
     def change(self, write: Write, version: int) -> Change:
-        """Return the change that a write makes at a version."""
+        """Return the change log entry of a write at a version."""
         body = write.body
         if body is not None:
             body = {**body, "resource_version": version}
@@ -155,10 +157,10 @@
     async def submit(
         self, transaction: Transaction, change: Change, deadline: float
     ) -> AppendOutcome | None:
-        """Send a transaction until its fate is known.
+        """Send a transaction until its outcome is known or time runs out.
 
         Returns:
-          None if another change came first.
+          None if another change was committed at this version.
         """
         attempt = 0
         while True:
@@ -176,10 +178,13 @@
     async def resolve_conflict(
         self, change: Change, deadline: float
     ) -> AppendOutcome | None:
-        """Return whether a change whose check failed had been made before.
+        """Find out whether a conflicting change was committed earlier.
+
+        An earlier attempt of the same transaction may have caused the
+        conflict.
 
         Returns:
-          None if the place in the order was taken by somebody else.
+          None if another writer committed a change at this version.
         """
         attempt = 0
         while True:
@@ -196,14 +201,20 @@
     async def resolve_missing_change(
         self, change: Change
     ) -> StoreUnavailable | None:
-        """Tell a change that was never made from one deleted by compaction."""
+        """Distinguish an uncommitted change from a compacted one.
+
+        Returns:
+          None if the change was never committed.
+        """
         head = await read_head(self.store)
         if isinstance(head, Head) and head.version < change.version:
             return None
-        return StoreUnavailable(True, "the change log was shortened")
+        return StoreUnavailable(
+            True, "the change log was compacted past this change"
+        )
 
     async def conflict_outcome(self, current_row: Row | None) -> ChangeConflict:
-        """Return who wrote the row that was not as expected."""
+        """Return the conflict with the row's last change."""
         version = resource_version(current_row)
         value = current_row.value if current_row is not None else None
         last_change = await self.find_change(version)
@@ -212,20 +223,24 @@
         return ChangeConflict(value, last_change.actor, version, last_change.at)
 
     async def unchanged_outcome(self, current_row: Row | None) -> Unchanged:
-        """Return who wrote the row that is as wanted."""
+        """Return the outcome for a row that already has its new state."""
         version = resource_version(current_row)
         last_change = await self.find_change(version)
         return Unchanged(version, last_change.actor if last_change else "")
 
     async def find_change(self, version: int) -> Change | None:
-        """Return the change of a version, if it is still known."""
+        """Return the change at a version; None if it cannot be read."""
         if version == 0:
             return None
         found = await read_change(self.store, version)
         return found if isinstance(found, Change) else None
 
     async def back_off(self, attempt: int, deadline: float) -> bool:
-        """Wait before another attempt; return whether time is left for it."""
+        """Wait before a retry.
+
+        Returns:
+          False, without waiting, if the wait would reach the deadline.
+        """
         ceiling = RETRY_PAUSE_SECONDS * 2 ** min(attempt, 10)
         ceiling = min(ceiling, MAX_RETRY_PAUSE_SECONDS)
         pause = self.rng.uniform(0, ceiling)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_reader.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_reader.py
@@ -1,4 +1,4 @@
-"""Reads ranges of the change log."""
+"""Reads entries of the change log."""
 
 from jackdawcrank.store.change_codec import change_key, decode_change
 from jackdawcrank.store.client import StoreClient
@@ -11,7 +11,11 @@
 async def read_change(
     store: StoreClient, version: int
 ) -> Change | Absent | StoreUnavailable:
-    """Read one change; absent if not made yet or deleted by compaction."""
+    """Read one change.
+
+    Returns:
+      `Absent` if the change is not committed or was deleted by compaction.
+    """
     result = await store.get("changes", change_key(version))
     if isinstance(result, Row):
         return change_from(result)
@@ -21,12 +25,12 @@
 async def read_changes(
     store: StoreClient, after: int, limit: int = PAGE_ROWS
 ) -> tuple[Change, ...] | StoreUnavailable:
-    """Read the changes above a version, oldest first.
+    """Read the changes after a version, oldest first.
 
     Args:
       store: The store.
-      after: The version before the first one wanted.
-      limit: The most changes to read.
+      after: The version after which to start.
+      limit: The maximum number of changes.
     """
     page = await store.scan("changes", change_key(after), limit)
     if isinstance(page, StoreUnavailable):
@@ -41,7 +45,7 @@
 
 
 def change_from(row: Row) -> Change | StoreUnavailable:
-    """Return the change in a row."""
+    """Return the change in a row; unavailable if it is malformed."""
     try:
         return decode_change(int(row.key), row.value)
     except (KeyError, TypeError, ValueError) as error:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/channel.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/channel.py
@@ -1,4 +1,4 @@
-"""Bounded HTTP requests to the store."""
+"""HTTP requests to the store within time, rate and concurrency limits."""
 
 import asyncio
 import random
@@ -26,9 +26,9 @@
     Attributes:
       method: The HTTP method.
       path: The path and query.
-      seconds: How long it may take, and how old its answer may be.
-      body: The body's bytes.
-      headers: Further header fields.
+      seconds: The timeout, which is also the maximum age of the response.
+      body: The body in bytes.
+      headers: Additional header fields.
     """
 
     method: str
@@ -39,26 +39,26 @@
 
     @property
     def reads(self) -> bool:
-        """Return whether the request changes nothing."""
+        """Return whether the request is a read."""
         return self.method == "GET"
 
 
 @attrs.define
 class Channel:
-    """Sends requests within bounds of time, rate and concurrency.
+    """Sends requests within limits of time, rate and concurrency.
 
-    An answer that came later than its bound is never passed on, also if the
-    process was paused while it lay in a buffer.
+    A response is discarded after its deadline, even if it arrived in time
+    and the process was paused before reading it from the buffer.
 
     Attributes:
       url: The store's base URL.
-      clock: Monotonic seconds.
-      rng: The source of jitter.
-      limits: The bounds.
-      breaker: Stops requests while the store does not answer.
-      rate_limit: Bounds the requests per second.
-      traffic: What was sent and received.
-      slots: Bounds the requests under way.
+      clock: Returns monotonic seconds.
+      rng: The random source of the jitter.
+      limits: The limits.
+      breaker: Blocks requests while the store is failing.
+      rate_limit: Limits the requests per second.
+      traffic: Counters of requests and responses.
+      slots: Limits the requests in flight.
       session: The HTTP client; None unless started.
     """
 
@@ -74,17 +74,17 @@
 
     @breaker.default
     def new_breaker(self) -> CircuitBreaker:
-        """Return a breaker that lets requests through."""
+        """Return a closed circuit breaker."""
         return CircuitBreaker(self.rng)
 
     @rate_limit.default
     def new_token_bucket(self) -> TokenBucket:
-        """Return an unused rate limit."""
+        """Return a full token bucket."""
         return TokenBucket(self.limits.per_second, self.limits.burst)
 
     @slots.default
     def new_slots(self) -> asyncio.Semaphore:
-        """Return the slots for requests under way."""
+        """Return the semaphore for requests in flight."""
         return asyncio.Semaphore(self.limits.concurrency)
 
     async def start(self) -> None:
@@ -98,7 +98,7 @@
             await session.close()
 
     async def send(self, request: Request) -> StoreResponse | StoreUnavailable:
-        """Send a request; a read is sent twice if it is slow or fails."""
+        """Send a request; hedge a slow read and retry a failed one."""
         deadline = self.clock() + request.seconds
         if not request.reads:
             return await self.attempt(request, deadline)
@@ -116,10 +116,10 @@
         request: Request,
         deadline: float,
     ) -> StoreResponse | StoreUnavailable:
-        """Send a read again once the first try is slow or has failed.
+        """Send a read a second time if the first is slow or has failed.
 
-        The second try goes over another connection, so that one that went
-        silent costs little.
+        The second request uses another connection, so that a silent
+        connection delays the read only by the hedge delay.
         """
         await asyncio.wait([first], timeout=self.limits.hedge_delay_seconds)
         if first.done():
@@ -133,7 +133,7 @@
     async def attempt(
         self, request: Request, deadline: float
     ) -> StoreResponse | StoreUnavailable:
-        """Send a request once, if the bounds allow it."""
+        """Send a request once if the limits allow it."""
         session = self.session
         if session is None:
             return StoreUnavailable(False, "the store client is closed")
@@ -146,7 +146,9 @@
             async with asyncio.timeout(max(0.0, deadline - self.clock())):
                 await self.slots.acquire()
         except TimeoutError:
-            return StoreUnavailable(False, "too many requests under way")
+            return StoreUnavailable(
+                False, "too many requests to the store in flight"
+            )
         try:
             if not self.breaker.allow_request(self.clock()):
                 return StoreUnavailable(False, "the store has been failing")
@@ -160,7 +162,7 @@
         request: Request,
         deadline: float,
     ) -> StoreResponse | StoreUnavailable:
-        """Send a request and tell the breaker what became of it."""
+        """Send a request and record its outcome in the breaker."""
         try:
             outcome = await self.exchange(session, request, deadline)
         except asyncio.CancelledError:
@@ -179,11 +181,13 @@
         request: Request,
         deadline: float,
     ) -> StoreResponse | StoreUnavailable:
-        """Send a request and judge its answer."""
+        """Send a request and check its deadline and its status."""
         maybe_applied = not request.reads
         left = deadline - self.clock()
         if left <= 0:
-            return StoreUnavailable(False, "no time was left to send")
+            return StoreUnavailable(
+                False, "the deadline passed before the request was sent"
+            )
         self.traffic.requests += 1
         self.traffic.reads += request.reads
         try:
@@ -194,16 +198,18 @@
             detail = f"{type(error).__name__}: {error}".strip(": ")
             return StoreUnavailable(maybe_applied and not refused, detail)
         if self.clock() > deadline:
-            return StoreUnavailable(maybe_applied, "the answer came too late")
+            return StoreUnavailable(
+                maybe_applied, "the response came after the deadline"
+            )
         if store_response.status >= SERVER_ERROR:
-            detail = f"the store answered {store_response.status}"
+            detail = f"the store returned HTTP {store_response.status}"
             return StoreUnavailable(maybe_applied, detail)
         return store_response
 
     async def transfer(
         self, session: aiohttp.ClientSession, request: Request
     ) -> StoreResponse:
-        """Send a request and read the whole answer."""
+        """Send a request and read the complete response."""
         async with session.request(
             request.method,
             self.url + request.path,
@@ -217,26 +223,32 @@
     def count(
         self, request: Request, response: aiohttp.ClientResponse, length: int
     ) -> None:
-        """Count the bytes of a request and its answer."""
+        """Count the bytes of a request and its response."""
         sent = header_bytes(response.request_info.headers.items())
         self.traffic.bytes_sent += sent + len(request.path) + len(request.body)
         received = header_bytes(response.raw_headers)
         self.traffic.bytes_received += received + length
 
     async def read_body(self, response: aiohttp.ClientResponse) -> bytes:
-        """Read an answer's body up to the largest size allowed."""
+        """Read a response body.
+
+        Raises:
+          aiohttp.ClientPayloadError: The body exceeds the size limit.
+        """
         chunks = bytearray()
         async for chunk in response.content.iter_chunked(CHUNK_BYTES):
             chunks += chunk
             if len(chunks) > self.limits.max_body_bytes:
-                raise aiohttp.ClientPayloadError("the answer is too large")
+                raise aiohttp.ClientPayloadError(
+                    "the response body is too large"
+                )
         return bytes(chunks)
 
 
 async def first_response(
     *attempts: "asyncio.Task[StoreResponse | StoreUnavailable]",
 ) -> StoreResponse | StoreUnavailable:
-    """Return the first answer of some attempts, or the last failure."""
+    """Return the first response of the attempts, or the last failure."""
     outcome: StoreResponse | StoreUnavailable = StoreUnavailable()
     for attempt in asyncio.as_completed(attempts):
         outcome = await attempt
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/client.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/client.py
@@ -1,4 +1,4 @@
-"""The platform's table service, object store and VM list."""
+"""Client of the platform's tables, object store and VM list."""
 
 import json
 import random
@@ -44,12 +44,14 @@
 
 
 class StoreClient:
-    """Asks the platform's services over HTTP; a failure is a value.
+    """Accesses the platform's services over HTTP.
+
+    Failures are returned as `StoreUnavailable`, not raised.
 
     Attributes:
-      channel: Sends the requests within their bounds.
-      limits: The bounds.
-      vms: The last VM list with its entity tag.
+      channel: Sends the requests within the limits.
+      limits: The limits.
+      vms: The entity tag and content of the last VM list.
     """
 
     def __init__(
@@ -59,13 +61,13 @@
         rng: random.Random | None = None,
         limits: StoreLimits | None = None,
     ) -> None:
-        """Make a client; `start` opens it.
+        """Create a client; call `start` before use.
 
         Args:
           url: The platform's base URL.
-          clock: Monotonic seconds.
-          rng: The source of jitter.
-          limits: The bounds on requests.
+          clock: Returns monotonic seconds.
+          rng: The random source of the jitter.
+          limits: The limits on requests.
         """
         self.limits = limits or StoreLimits()
         rng = rng or random.Random()
@@ -74,7 +76,7 @@
 
     @property
     def traffic(self) -> Traffic:
-        """Return the counts of what was sent and received."""
+        """Return the counters of requests and responses."""
         return self.channel.traffic
 
     async def start(self) -> None:
@@ -100,12 +102,12 @@
     async def scan(
         self, table: str, after: str = "", limit: int = 200
     ) -> Page | StoreUnavailable:
-        """Read the rows whose keys are greater than a key.
+        """Read a page of the rows whose keys are greater than a key.
 
         Args:
           table: The table's name.
-          after: The key before the first one wanted.
-          limit: The most rows to return.
+          after: The key after which to start.
+          limit: The maximum number of rows.
         """
         query = urlencode({"after": after, "limit": limit})
         response = await self.read(f"/tables/{quote(table, safe='')}?{query}")
@@ -116,7 +118,7 @@
     async def transact(
         self, transaction: Transaction
     ) -> Committed | Conflict | StoreUnavailable:
-        """Write several rows together, if every check holds."""
+        """Write several rows atomically if every check passes."""
         body = json.dumps(attrs.asdict(transaction)).encode()
         request = Request(
             "POST",
@@ -156,9 +158,9 @@
 
         Args:
           name: The object's name.
-          data: Its bytes.
-          if_match: The entity tag that the object must have.
-          create_only: Whether the object must not exist yet.
+          data: The object's content.
+          if_match: The required entity tag of the existing object.
+          create_only: Whether to fail if the object exists.
         """
         headers = {"If-Match": if_match} if if_match is not None else {}
         if create_only:
@@ -173,7 +175,7 @@
         return ObjectWritten(response.etag)
 
     async def delete_object(self, name: str) -> Deleted | StoreUnavailable:
-        """Remove an object; one that is not there counts as removed."""
+        """Delete an object; a missing object counts as deleted."""
         response = await self.object_request("DELETE", name)
         if isinstance(response, StoreUnavailable):
             return response
@@ -184,14 +186,14 @@
     async def list_objects(
         self, prefix: str
     ) -> tuple[str, ...] | StoreUnavailable:
-        """Return the names of the objects that begin with a prefix."""
+        """Return the names of the objects with a prefix."""
         response = await self.read(f"/objects?{urlencode({'prefix': prefix})}")
         if isinstance(response, StoreUnavailable):
             return response
         return decode_response(response, object_names)
 
     async def list_vms(self) -> tuple[Vm, ...] | StoreUnavailable:
-        """Return the platform's list of VMs, which lags."""
+        """Return the platform's list of VMs, which may be outdated."""
         etag, cached_vms = self.vms
         headers = {"If-None-Match": etag} if etag else {}
         response = await self.read("/vms", headers)
@@ -207,7 +209,7 @@
     async def read(
         self, path: str, headers: dict[str, str] | None = None
     ) -> StoreResponse | StoreUnavailable:
-        """Send a read of a table or list."""
+        """Send a read of a table or a list."""
         seconds = self.limits.read_timeout_seconds
         request = Request("GET", path, seconds, headers=headers or {})
         return await self.channel.send(request)
@@ -231,42 +233,44 @@
     decode: Callable[[Any], T],
     maybe_applied: bool = False,
 ) -> T | StoreUnavailable:
-    """Return what an answer's JSON means, or that it is of no use."""
+    """Return a decoded JSON body; unavailable if it is malformed."""
     if response.status not in (OK, CONFLICT):
         return unexpected_status(response)
     try:
         return decode(response.document())
     except DECODE_ERRORS as error:
-        detail = f"malformed answer: {error!r}"
+        detail = f"malformed response: {error!r}"
         return StoreUnavailable(maybe_applied, detail)
 
 
 def unexpected_status(
     response: StoreResponse, maybe_applied: bool = False
 ) -> StoreUnavailable:
-    """Return the outcome for a status that the contract does not name."""
-    detail = f"the store answered {response.status}: {response.body[:200]!r}"
+    """Return the failure for an HTTP status outside the contract."""
+    detail = (
+        f"the store returned HTTP {response.status}: {response.body[:200]!r}"
+    )
     return StoreUnavailable(maybe_applied, detail)
 
 
 def row(key: str, body: dict[str, Any]) -> Row:
-    """Return the row in the answer to a read of one row."""
+    """Return the row in a response to a read of one row."""
     return Row(key, body["value"], int(body["version"]))
 
 
 def page(body: dict[str, Any]) -> Page:
-    """Return the rows in the answer to a scan."""
+    """Return the page in a response to a scan."""
     rows = tuple(row(item["key"], item) for item in body["rows"])
     return Page(rows, bool(body["more"]))
 
 
 def committed(body: dict[str, Any]) -> Committed:
-    """Return the outcome of a transaction that took effect."""
+    """Return the outcome of a committed transaction."""
     return Committed({k: int(v) for k, v in body["versions"].items()})
 
 
 def conflict(body: dict[str, Any]) -> Conflict:
-    """Return the outcome of a transaction whose checks failed."""
+    """Return the outcome of a transaction that failed a check."""
     rows = (
         ConflictingRow(
             item["table"], item["key"], item.get("version"), item.get("value")
@@ -277,12 +281,12 @@
 
 
 def object_names(body: dict[str, Any]) -> tuple[str, ...]:
-    """Return the names in a list of objects."""
+    """Return the names in an object list."""
     return tuple(str(name) for name in body["names"])
 
 
 def vm_list(body: dict[str, Any]) -> tuple[Vm, ...]:
-    """Return the VMs in the platform's list."""
+    """Return the VMs in a VM list."""
     return tuple(vm_from(item) for item in body["vms"])
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/group_row_codec.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/group_row_codec.py
@@ -1,4 +1,4 @@
-"""Converts group rows from and to their JSON form."""
+"""Converts group rows to and from their JSON form."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 def decode_group_row(value: Mapping[str, Any]) -> GroupRow | None:
-    """Return the group row of a JSON value; None if it is malformed."""
+    """Return the decoded group row; None if the value is malformed."""
     try:
         return CONVERTER.structure(value, GroupRow)
     except (cattrs.BaseValidationError, TypeError, ValueError, KeyError):
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/group_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/group_rows.py
@@ -1,4 +1,4 @@
-"""The group rows in the platform's table service."""
+"""Group rows in the platform's table service."""
 
 import attrs
 
@@ -24,8 +24,8 @@
 
     Attributes:
       store: The store.
-      change_log: Writes changes.
-      actor: Who claims terms: the VM's name.
+      change_log: The change log, through which rows are changed.
+      actor: The name of the VM that claims terms.
     """
 
     store: StoreClient
@@ -37,8 +37,8 @@
     ) -> Stored | Conflict | StoreUnavailable:
         """Compare-and-set a group's row together with the log's head.
 
-        A claim that is repeated after a lost answer finds the row that it
-        had written and counts as stored.
+        A claim that is repeated after a lost response finds the row that it
+        wrote and is reported as stored.
         """
         result = await self.change_log.append_group_row(
             new.group,
@@ -52,10 +52,10 @@
             return claim_outcome(result, new)
         if isinstance(result, outcome.StoreUnavailable):
             return StoreUnavailable(result.detail)
-        raise TypeError(f"not an outcome of a claim: {result!r}")
+        raise TypeError(f"unexpected outcome of a claim: {result!r}")
 
     async def read(self, group: str) -> GroupRow | None | StoreUnavailable:
-        """Return a group's row as it stands in the store."""
+        """Read a group's row; None if it does not exist."""
         result = await self.store.get("groups", group)
         if isinstance(result, outcome.StoreUnavailable):
             return StoreUnavailable(result.detail)
@@ -68,12 +68,12 @@
 
 
 def decode_optional_row(row: outcome.Row | None) -> GroupRow | None:
-    """Return the group row in a row of the table."""
+    """Return the group row in a table row; None for no or malformed row."""
     return None if row is None else decode_group_row(row.value)
 
 
 def claim_outcome(conflict: ChangeConflict, new: GroupRow) -> Stored | Conflict:
-    """Return whether the row that stands is the one to be written."""
+    """Return `Stored` if the current row equals the claimed row."""
     value = conflict.current
     current = None if value is None else decode_group_row(value)
     if current == new:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/head.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/head.py
@@ -10,14 +10,15 @@
 
 @attrs.frozen
 class Head:
-    """The row `head`.
+    """The row `head` of the table `head`.
 
     Attributes:
-      version: The version of the newest change; 0 before the first.
+      version: The version of the newest change; 0 if there is none.
       snapshot: The name of the newest snapshot's object; None if there is
         none.
-      floor: The version of the oldest change that is still in the log.
-      row_version: The version of the row itself; None if there is no row.
+      floor: The version of the oldest change retained in the log.
+      row_version: The version of the row itself; None if the row does not
+        exist.
     """
 
     version: int = 0
@@ -45,7 +46,7 @@
 
 
 def head_from(row: Row) -> Head | StoreUnavailable:
-    """Return the head in a row."""
+    """Return the head in a row; unavailable if the row is malformed."""
     try:
         return Head(
             version=int(row.value["version"]),
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/limits.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/limits.py
@@ -1,23 +1,24 @@
-"""How a proxy may use the store."""
+"""Limits on a proxy's requests to the store."""
 
 import attrs
 
 
 @attrs.frozen
 class StoreLimits:
-    """Bounds on the requests of one proxy.
+    """Limits on the store requests of one proxy.
 
     Attributes:
-      read_timeout_seconds: How old the answer of a read may be when it is used, from
-        the instant before it was sent.
-      write_timeout_seconds: How long a write may take.
-      object_timeout_seconds: How long a transfer of an object may take.
-      per_second: Requests per second in the long run.
-      burst: Requests that may be sent at once.
-      concurrency: Requests that may be under way at once.
-      hedge_delay_seconds: After which time without an answer a read is sent again.
-      retry_delay_seconds: The longest pause before a read that failed is sent again.
-      max_body_bytes: The largest answer that is read.
+      read_timeout_seconds: The timeout of a read. It starts before the request
+        is sent, so it also bounds the age of the data when it is used.
+      write_timeout_seconds: The timeout of a write.
+      object_timeout_seconds: The timeout of an object transfer.
+      per_second: The sustained number of requests per second.
+      burst: The number of requests that may be sent without waiting.
+      concurrency: The maximum number of requests in flight.
+      hedge_delay_seconds: The time without a response after which a read is
+        sent a second time.
+      retry_delay_seconds: The maximum delay before a failed read is retried.
+      max_body_bytes: The maximum size of a response body.
     """
 
     read_timeout_seconds: float = 2.0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/outcome.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/outcome.py
@@ -1,4 +1,4 @@
-"""What became of a request to the platform's store."""
+"""Outcomes of requests to the platform's store."""
 
 import dataclasses
 from typing import Any
@@ -12,8 +12,8 @@
 
     Attributes:
       key: The row's key.
-      value: Its JSON value.
-      version: The row's version, which grows by 1 with each write.
+      value: The row's JSON value.
+      version: The row's version; each write increments it by 1.
     """
 
     key: str
@@ -23,16 +23,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Absent:
-    """There is no such row or object."""
+    """The row or object does not exist."""
 
 
 @dataclasses.dataclass(frozen=True)
 class StoreUnavailable:
-    """The store gave no usable answer in time.
+    """The store returned no usable response before the deadline.
 
     Attributes:
-      maybe_applied: Whether a write may have taken effect all the same.
-      detail: A sentence for people.
+      maybe_applied: Whether a write may have been applied nevertheless.
+      detail: A human-readable description.
     """
 
     maybe_applied: bool = False
@@ -41,11 +41,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Page:
-    """Some rows of a table in the order of their keys.
+    """One page of a table's rows in key order.
 
     Attributes:
       rows: The rows.
-      more: Whether rows with greater keys follow.
+      more: Whether more rows follow this page.
     """
 
     rows: tuple[Row, ...]
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Committed:
-    """The transaction took effect.
+    """The transaction was committed.
 
     Attributes:
       versions: The new row versions by `TABLE/KEY`.
@@ -65,12 +65,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConflictingRow:
-    """A row that was not as a transaction's check required.
+    """A row that failed a check of a transaction.
 
     Attributes:
       table: The table's name.
       key: The row's key.
-      version: The row's version; None if there is no such row.
+      version: The row's version; None if the row does not exist.
       value: The row's value.
     """
 
@@ -82,10 +82,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Conflict:
-    """A check failed; the transaction had no effect.
+    """A check failed; the transaction was not applied.
 
     Attributes:
-      rows: The rows that were not as required.
+      rows: The rows that failed their checks.
     """
 
     rows: tuple[ConflictingRow, ...]
@@ -96,7 +96,7 @@
     """An object of the object store.
 
     Attributes:
-      data: Its bytes.
+      data: The object's content.
       etag: The entity tag of this content.
     """
 
@@ -106,7 +106,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ObjectWritten:
-    """The object stands as written.
+    """The object was written.
 
     Attributes:
       etag: The entity tag of the new content.
@@ -117,12 +117,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class PreconditionFailed:
-    """The object was not as the request required."""
+    """The object did not meet the precondition of the request."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Deleted:
-    """The object is gone."""
+    """The object does not exist any more."""
 
 
 VmList = tuple[Vm, ...]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/response.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/response.py
@@ -1,4 +1,4 @@
-"""An HTTP answer of the store."""
+"""HTTP responses of the store."""
 
 import json
 from collections.abc import Mapping
@@ -9,11 +9,11 @@
 
 @attrs.frozen
 class StoreResponse:
-    """A complete HTTP answer.
+    """A complete HTTP response.
 
     Attributes:
-      status: The HTTP status.
-      body: The body's bytes.
+      status: The HTTP status code.
+      body: The body in bytes.
       headers: The header fields.
     """
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/token_bucket.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/token_bucket.py
@@ -1,17 +1,19 @@
-"""Bounds how often the store is asked."""
+"""Token bucket that limits the rate of store requests."""
 
 import attrs
 
 
 @attrs.define
 class TokenBucket:
-    """A token bucket whose takers queue by waiting.
+    """A token bucket that hands out tokens in advance.
+
+    A request that finds no token reserves the next one and waits for it.
 
     Attributes:
-      per_second: Requests per second in the long run.
-      burst: Requests that may be sent at once.
-      tokens: What is left; below zero while takers wait.
-      filled_at: When the bucket was last filled.
+      per_second: The tokens added per second.
+      burst: The capacity of the bucket.
+      tokens: The available tokens; negative while requests wait.
+      filled_at: The time of the last refill, in monotonic seconds.
     """
 
     per_second: float
@@ -21,18 +23,19 @@
 
     @tokens.default
     def full_bucket(self) -> float:
-        """Return the tokens of a full bucket."""
+        """Return the number of tokens in a full bucket."""
         return self.burst
 
     def take(self, now: float, max_wait: float) -> float | None:
         """Take a token and return how long to wait before using it.
 
         Args:
-          now: The present.
-          max_wait: The longest wait in seconds that is of use.
+          now: The current time in monotonic seconds.
+          max_wait: The maximum wait in seconds.
 
         Returns:
-          The wait in seconds; None, and nothing taken, if it is too long.
+          The wait in seconds; None if it exceeds `max_wait`, in which case no
+          token is taken.
         """
         refill = max(0.0, now - self.filled_at) * self.per_second
         self.tokens = min(self.burst, self.tokens + refill)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/traffic.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of a proxy's requests to the store."""
+"""Counters of a proxy's requests to the store."""
 
 from collections.abc import Iterable
 
@@ -10,14 +10,14 @@
 
 @attrs.define
 class Traffic:
-    """What was sent to and received from the store.
+    """Counters of requests to and responses from the store.
 
     Attributes:
-      requests: Requests that were sent.
-      reads: Those of them that read.
-      failures: Requests without a usable answer.
-      bytes_sent: Bytes of requests, header fields included.
-      bytes_received: Bytes of answers, header fields included.
+      requests: Requests sent.
+      reads: Read requests sent.
+      failures: Requests without a usable response.
+      bytes_sent: Bytes of requests, including header fields.
+      bytes_received: Bytes of responses, including header fields.
     """
 
     requests: int = 0
@@ -30,6 +30,6 @@
 def header_bytes(
     fields: Iterable[tuple[str, str]] | Iterable[tuple[bytes, bytes]],
 ) -> int:
-    """Return the bytes of header fields with the line before them."""
+    """Return the size in bytes of header fields and the line before."""
     lengths = (len(name) + len(text) + LINE_BYTES for name, text in fields)
     return FIRST_LINE_BYTES + sum(lengths)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/transaction.py
@@ -1,4 +1,4 @@
-"""A conditional write of several rows."""
+"""Conditional writes of several rows."""
 
 from typing import Any
 
@@ -7,12 +7,12 @@
 
 @attrs.frozen
 class RowCheck:
-    """A condition on one row.
+    """A precondition on the version of one row.
 
     Attributes:
       table: The table's name.
       key: The row's key.
-      version: The version that the row must have; None for no row.
+      version: The required version; None if the row must not exist.
     """
 
     table: str
@@ -50,10 +50,10 @@
 
 @attrs.frozen
 class Transaction:
-    """Writes that happen together, if every check holds.
+    """Writes that are applied atomically if every check passes.
 
     Attributes:
-      checks: The conditions.
+      checks: The preconditions.
       puts: The rows to write.
       deletes: The rows to remove.
     """
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/write.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/write.py
@@ -1,4 +1,4 @@
-"""A change of a row that is about to be made."""
+"""Pending writes and the transactions that commit them."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -21,14 +21,14 @@
 
 @attrs.frozen
 class Write:
-    """A change that is about to be made.
+    """A pending change of one row.
 
     Attributes:
-      kind: The kind of row.
+      kind: The kind of the row.
       name: The row's name.
-      body: The row's new value; None deletes it.
-      actor: Who makes the change.
-      token: The token that tells this write from every other.
+      body: The row's new value; None deletes the row.
+      actor: The user or VM that makes the change.
+      token: A unique identifier of this write.
     """
 
     kind: str
@@ -39,7 +39,7 @@
 
     @property
     def table(self) -> str:
-        """Return the table that holds the row."""
+        """Return the name of the row's table."""
         return "groups" if self.kind == Kind.GROUP_ROW else "resources"
 
     @property
@@ -51,10 +51,11 @@
 
 
 def version_precondition(version: int | None) -> RowPrecondition:
-    """Return the expectation that a resource is at a version.
+    """Return a precondition on a resource's version.
 
     Args:
-      version: The resource version; 0 for no row, None for any.
+      version: The required version; 0 if the resource must not exist, None
+        for any.
     """
 
     def matches(row: Row | None) -> bool:
@@ -71,13 +72,14 @@
 
 
 def already_applied(write: Write, current_row: Row | None) -> bool:
-    """Return whether a resource is as a write would make it.
+    """Return whether a resource already has the state that a write sets.
 
-    A repeated write, whose first answer was lost, is recognized by this.
+    This recognizes a write that is repeated because its first response was
+    lost.
 
     Args:
       write: The write.
-      current_row: The resource's row; None if there is none.
+      current_row: The resource's row; None if it does not exist.
     """
     if write.kind == Kind.GROUP_ROW:
         return False
@@ -91,13 +93,13 @@
 def transaction_for(
     write: Write, change: Change, head: Head, current_row: Row | None
 ) -> Transaction:
-    """Return the transaction that makes a change.
+    """Return the transaction that commits a change.
 
     Args:
-      write: What is to be written.
-      change: The change as the change log shall hold it.
-      head: The head that the change follows.
-      current_row: The row that it replaces; None if there is none.
+      write: The pending write.
+      change: The entry for the change log.
+      head: The head of the change log before the change.
+      current_row: The row to replace; None if it does not exist.
     """
     new_head = attrs.evolve(head, version=change.version)
     puts = [
