--- a/packages/jackdawcrank-proxy/src/jackdawcrank/results/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/results/__init__.py
@@ -1,4 +1,4 @@
-"""Results of statements in the form that travels between proxies."""
+"""Statement results in the format of messages between proxies."""
 
 from jackdawcrank.results.answers import result_from_answer
 from jackdawcrank.results.errors import (
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/results/answers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/results/answers.py
@@ -1,4 +1,4 @@
-"""Turns a backend server's answer into a result."""
+"""Converts responses of backend servers to statement results."""
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
@@ -19,12 +19,12 @@
 def result_from_answer(
     answer: LinkAnswer, server: str, term: int
 ) -> StatementResult:
-    """Return the result that an answer stands for.
+    """Return the statement result for a backend server's response.
 
     Args:
-      answer: The backend server's answer.
-      server: The server's name.
-      term: The term under which the server was chosen.
+      answer: The response of the backend server.
+      server: The name of the backend server.
+      term: The term in which the server was selected.
     """
     match answer:
         case RowsAnswer():
@@ -46,9 +46,9 @@
 
 
 def failure_from_answer(answer: ErrorAnswer) -> Failed:
-    """Return the failure that a backend server reported.
+    """Return the failure reported by a backend server.
 
     Args:
-      answer: The server's error.
+      answer: The error response of the server.
     """
     return Failed(answer.code, answer.sqlstate, answer.message)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/__init__.py
@@ -1,4 +1,4 @@
-"""What a caller's statement is and which options it carries."""
+"""Classification of callers' statements and their options."""
 
 from jackdawcrank.statements.classify import classify, first_keyword
 from jackdawcrank.statements.front_kind import FrontKind
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/classify.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/classify.py
@@ -1,4 +1,4 @@
-"""Tells statements apart without parsing SQL."""
+"""Classifies statements by keywords, without parsing SQL."""
 
 import functools
 import re
@@ -29,7 +29,8 @@
     {"lock", "unlock", "xa", "load", "prepare", "execute", "deallocate"}
     | {"handler", "kill", "shutdown", "reset", "change", "install"}
 )
-# Words that make a SELECT more than a plain read of committed data.
+# Locking and writing clauses, executable comments (/*!), NEXTVAL and SLEEP make
+# a SELECT more than a plain read of committed data.
 _NON_PLAIN_READ = re.compile(
     r"\bfor\s+update\b|\bfor\s+share\b|\block\s+in\s+share\b|\binto\b"
     r"|/\*!|\bnextval\b|\bsleep\s*\(",
@@ -68,12 +69,12 @@
 
 
 def classify(sql: str) -> Statement:
-    """Return what the front does with a statement.
+    """Return the classification of a statement.
 
-    Anything doubtful is taken as a write.
+    A statement that is not recognized is classified as a write.
 
     Args:
-      sql: The statement without its options comment.
+      sql: The statement without the comment that holds its options.
     """
     if len(sql) > MAX_CACHED_LENGTH:
         return _classify(sql)
@@ -99,7 +100,7 @@
 
 
 def first_keyword(sql: str) -> str:
-    """Return a statement's first word in lower case, or nothing.
+    """Return a statement's first keyword in lower case; empty if none.
 
     Args:
       sql: The statement, with or without comments.
@@ -143,7 +144,8 @@
 
 
 def _transaction_end(kind: FrontKind, plain: object) -> Statement:
-    # COMMIT AND CHAIN and RELEASE would tie the session to one connection.
+    # COMMIT AND CHAIN and COMMIT RELEASE would bind the session to one
+    # backend connection.
     return Statement(kind if plain else FrontKind.UNSUPPORTED)
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/front_kind.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/front_kind.py
@@ -1,10 +1,10 @@
-"""What the caller front does with a statement."""
+"""Categories of statements that callers send."""
 
 import enum
 
 
 class FrontKind(enum.Enum):
-    """How the front handles a statement."""
+    """The category that selects the handler of a statement."""
 
     READ = enum.auto()
     WRITE = enum.auto()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/options.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/options.py
@@ -1,4 +1,4 @@
-"""Options that a caller gives with a statement."""
+"""Options that a caller sets for a statement."""
 
 import re
 import urllib.parse
@@ -18,10 +18,10 @@
 
 @attrs.frozen
 class MalformedOption:
-    """An option's value does not fit.
+    """The value of an option is invalid.
 
     Attributes:
-      detail: A sentence for people that names the option.
+      detail: A human-readable description that names the option.
     """
 
     detail: str
@@ -29,14 +29,17 @@
 
 @attrs.frozen
 class Options:
-    """What a caller asked for with one statement.
+    """The options of one statement.
 
     Attributes:
-      session: The signed session token; empty for none.
-      max_age_ms: The age in milliseconds that a read may have.
-      request_id: The caller's id of a write; empty for none.
-      repeatable: Whether the statement may be run a second time.
-      deadline_ms: The longest that the statement may take, in milliseconds.
+      session: The signed session token; empty if not set.
+      max_age_ms: The maximum age of the data that a read returns, in
+        milliseconds; None if not set.
+      request_id: The caller's request id of a write; empty if not set.
+      repeatable: Whether the statement may be run more than once; None if not
+        set.
+      deadline_ms: The time limit of the statement in milliseconds; None if not
+        set.
     """
 
     session: str = ""
@@ -46,10 +49,10 @@
     deadline_ms: int | None = None
 
     def with_defaults(self, defaults: "Options") -> "Options":
-        """Return these options, with defaults where they state nothing.
+        """Return these options, completed with defaults.
 
         Args:
-          defaults: The connection's defaults.
+          defaults: The values of options that are not set.
         """
         if defaults == NO_OPTIONS:
             return self
@@ -67,7 +70,7 @@
 
 
 class _Malformed(Exception):
-    """A value cannot be read."""
+    """The value of an option is invalid."""
 
 
 def _integer_parser(limit: int) -> Callable[[str], int]:
@@ -109,10 +112,10 @@
 
 
 def read_options(pairs: Mapping[str, str]) -> Options | MalformedOption:
-    """Return the options among some named values.
+    """Return the options in a mapping of names to values.
 
     Args:
-      pairs: Values by name; names that are no options are ignored.
+      pairs: The values by name; unknown names are ignored.
     """
     values = {}
     for name, text in pairs.items():
@@ -129,7 +132,7 @@
 def options_from_attributes(
     attributes: Mapping[str, Any],
 ) -> Options | MalformedOption:
-    """Return the options among a statement's query attributes.
+    """Return the options in a statement's query attributes.
 
     Args:
       attributes: The attributes by name.
@@ -140,9 +143,9 @@
 
 
 def decode_value(text: str) -> str:
-    """Return a sqlcommenter value without its escapes.
+    """Return the decoded form of a sqlcommenter value.
 
     Args:
-      text: The value as it stands between the quotes.
+      text: The escaped text between the quotes.
     """
     return urllib.parse.unquote(text.replace("\\'", "'"))
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/set_statement.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/set_statement.py
@@ -1,4 +1,4 @@
-"""Reads SET statements without parsing SQL in general."""
+"""Parses SET statements without a full SQL parser."""
 
 import re
 
@@ -23,15 +23,15 @@
 
 @attrs.frozen
 class Assignment:
-    """One item of a SET statement.
+    """One assignment of a SET statement.
 
     Attributes:
-      name: The variable in lower case; `names` and `transaction` stand for
-        those forms.
-      value: The value's text with simple quotes taken off.
-      user: Whether it is a user variable (`@name`).
-      is_global: Whether it addresses the whole server.
-      text: The item as it was written.
+      name: The variable in lower case; `names` for SET NAMES and SET CHARACTER
+        SET, `transaction` for SET TRANSACTION.
+      value: The text of the value without enclosing quotes.
+      user: Whether the variable is a user variable (`@name`).
+      is_global: Whether the assignment has GLOBAL or PERSIST scope.
+      text: The text of the assignment as written.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 
 def parse_set(sql: str) -> tuple[Assignment, ...] | None:
-    """Return the items of a SET statement, or None if it has another form.
+    """Return the assignments of a SET statement; None if not recognized.
 
     Args:
       sql: The statement.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/sql_comment.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/sql_comment.py
@@ -1,4 +1,4 @@
-"""Options in a trailing comment of the sqlcommenter form."""
+"""Options in a trailing comment in sqlcommenter format."""
 
 import re
 
@@ -24,10 +24,10 @@
 
 @attrs.frozen
 class SplitStatement:
-    """A statement and the options that its comment held.
+    """A statement and the options from its comment.
 
     Attributes:
-      sql: The statement; without the comment if that held options.
+      sql: The statement, without the comment if it contains options.
       options: The options.
     """
 
@@ -36,9 +36,9 @@
 
 
 def split_options(sql: str) -> SplitStatement | MalformedOption:
-    """Return a statement apart from the options in its trailing comment.
+    """Split the options in the trailing comment from a statement.
 
-    A comment that names no option stays in the statement.
+    A comment that names no option is left in the statement.
 
     Args:
       sql: The statement as the caller sent it.
@@ -58,7 +58,9 @@
     names = [name for name, _ in pairs]
     repeated = {name for name in names if names.count(name) > 1}
     if repeated & OPTION_PARSERS.keys():
-        return MalformedOption(f"option {min(repeated)} stands twice")
+        return MalformedOption(
+            f"option {min(repeated)} is given more than once"
+        )
     options = read_options({k: decode_value(v) for k, v in pairs})
     if isinstance(options, MalformedOption):
         return options
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/statement.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/statement.py
@@ -1,4 +1,4 @@
-"""A caller's statement after the cheap look at its text."""
+"""The classification of a caller's statement."""
 
 import attrs
 
@@ -10,8 +10,9 @@
     """A classified statement.
 
     Attributes:
-      kind: What the front does with it.
-      stateful: Whether it may leave session state on the connection.
+      kind: The category of the statement.
+      stateful: Whether the statement may leave session state on the backend
+        connection.
       argument: The request id of SHOW REQUEST or the database of USE.
     """
 
--- a/packages/jackdawcrank-proxy/tests/statements/test_classify.py
+++ b/packages/jackdawcrank-proxy/tests/statements/test_classify.py
@@ -1,4 +1,4 @@
-"""Tests of telling statements apart."""
+"""Tests of the classification of statements."""
 
 import pytest
 
--- a/packages/jackdawcrank-proxy/tests/statements/test_fuzz_statements.py
+++ b/packages/jackdawcrank-proxy/tests/statements/test_fuzz_statements.py
@@ -1,4 +1,8 @@
-"""Fuzz of the look at callers' statements."""
+"""Fuzz tests of the classification and parsing of statements.
+
+Hypothesis derives the examples of a derandomized test from its source, so that
+renaming a test or a name in its body changes the examples.
+"""
 
 import hypothesis
 import hypothesis.strategies as st
--- a/packages/jackdawcrank-proxy/tests/statements/test_sql_comment.py
+++ b/packages/jackdawcrank-proxy/tests/statements/test_sql_comment.py
@@ -1,4 +1,4 @@
-"""Tests of options in trailing comments."""
+"""Tests of options in trailing comments and of SET statements."""
 
 import pytest
 
--- a/packages/jackdawcrank-proxy/tests/store/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/store/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the store's tests."""
+"""Fixtures for the tests of the store."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 @attrs.define
 class Clock:
-    """A clock that a test can move on."""
+    """A clock that a test can advance."""
 
     time: float = 100.0
 
--- a/packages/jackdawcrank-proxy/tests/store/test_change_log.py
+++ b/packages/jackdawcrank-proxy/tests/store/test_change_log.py
@@ -1,4 +1,4 @@
-"""Tests that each change is made at most once and in one order."""
+"""Tests that changes are appended at most once and in a total order."""
 
 import asyncio
 import random
@@ -130,7 +130,11 @@
 
 
 class LossyStore(StoreClient):
-    """Loses transactions, their answers, or delays them past their answer."""
+    """A store client with injected faults.
+
+    It drops transactions, drops their responses, or applies them after it
+    has reported a failure.
+    """
 
     faults: random.Random
     delayed: list[asyncio.Task[Any]]
--- a/packages/jackdawcrank-proxy/tests/store/test_client.py
+++ b/packages/jackdawcrank-proxy/tests/store/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the store client against a failing store."""
+"""Tests of the store client, including failures of the store."""
 
 import asyncio
 import random
--- a/packages/jackdawcrank-proxy/tests/store/test_group_rows.py
+++ b/packages/jackdawcrank-proxy/tests/store/test_group_rows.py
@@ -1,4 +1,4 @@
-"""Tests of claims of groups' rows."""
+"""Tests of claims on group rows."""
 
 import attrs
 import pytest
--- a/packages/jackdawcrank-proxy/tests/store/test_token_bucket.py
+++ b/packages/jackdawcrank-proxy/tests/store/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""Tests of the rate limit."""
+"""Tests of the token bucket."""
 
 from jackdawcrank.store.token_bucket import TokenBucket
 
