--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_log.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/change_log.py
@@ -210,7 +210,7 @@
         if isinstance(head, Head) and head.version < change.version:
             return None
         return StoreUnavailable(
-            True, "the change log was compacted past this change"
+            True, "the log entry is missing; it may have been compacted"
         )
 
     async def conflict_outcome(self, current_row: Row | None) -> ChangeConflict:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/channel.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/channel.py
@@ -152,11 +152,11 @@
         try:
             if not self.breaker.allow_request(self.clock()):
                 return StoreUnavailable(False, "the store has been failing")
-            return await self.exchange_recorded(session, request, deadline)
+            return await self.exchange_and_record(session, request, deadline)
         finally:
             self.slots.release()
 
-    async def exchange_recorded(
+    async def exchange_and_record(
         self,
         session: aiohttp.ClientSession,
         request: Request,
