--- a/packages/jackdawcrank-proxy/src/jackdawcrank/results/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/results/__init__.py
@@ -1,16 +1,16 @@
-"""Results of statements in the form that travels between proxies."""
+"""Statement results in the format of messages between proxies."""
 
 from jackdawcrank.results.answers import result_from_answer
 from jackdawcrank.results.errors import (
-    lost_transaction,
     not_run,
     not_supported,
     result_error,
+    rolled_back_error,
     shutting_down,
 )
 
 __all__ = [
-    "lost_transaction",
+    "rolled_back_error",
     "not_run",
     "not_supported",
     "result_error",
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/options.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/options.py
@@ -1,4 +1,4 @@
-"""Options that a caller gives with a statement."""
+"""Options that a caller sets for a statement."""
 
 import re
 import urllib.parse
@@ -12,16 +12,16 @@
 MAX_TOKEN_LENGTH = 512
 MAX_AGE_MS = 24 * 60 * 60 * 1000
 MAX_DEADLINE_MS = 60 * 60 * 1000
-_YES = frozenset({"yes", "true", "1", "on"})
-_NO = frozenset({"no", "false", "0", "off"})
+_TRUE_WORDS = frozenset({"yes", "true", "1", "on"})
+_FALSE_WORDS = frozenset({"no", "false", "0", "off"})
 
 
 @attrs.frozen
 class MalformedOption:
-    """An option's value does not fit.
+    """The value of an option is invalid.
 
     Attributes:
-      detail: A sentence for people that names the option.
+      detail: A human-readable description that names the option.
     """
 
     detail: str
@@ -29,14 +29,17 @@
 
 @attrs.frozen
 class Options:
-    """What a caller asked for with one statement.
+    """The options of one statement.
 
     Attributes:
-      session: The signed session token; empty for none.
-      max_age_ms: The age in milliseconds that a read may have.
-      request_id: The caller's id of a write; empty for none.
-      repeatable: Whether the statement may be run a second time.
-      deadline_ms: The longest that the statement may take, in milliseconds.
+      session: The signed session token; empty if not set.
+      max_age_ms: The maximum age of the data that a read returns, in
+        milliseconds; None if not set.
+      request_id: The caller's request id of a write; empty if not set.
+      repeatable: Whether the statement may be run more than once; None if not
+        set.
+      deadline_ms: The time limit of the statement in milliseconds; None if not
+        set.
     """
 
     session: str = ""
@@ -45,82 +48,82 @@
     repeatable: bool | None = None
     deadline_ms: int | None = None
 
-    def over(self, defaults: "Options") -> "Options":
-        """Return these options, with defaults where they state nothing.
+    def with_defaults(self, defaults: "Options") -> "Options":
+        """Return these options, completed with defaults.
 
         Args:
-          defaults: The connection's defaults.
+          defaults: The values of options that are not set.
         """
         if defaults == NO_OPTIONS:
             return self
         if self == NO_OPTIONS:
             return defaults
-        stated = {
+        explicit = {
             name: value
             for name, value in attrs.asdict(self).items()
             if value not in ("", None)
         }
-        return attrs.evolve(defaults, **stated)
+        return attrs.evolve(defaults, **explicit)
 
 
 NO_OPTIONS = Options()
 
 
 class _Malformed(Exception):
-    """A value cannot be read."""
+    """The value of an option is invalid."""
 
 
-def _number(limit: int) -> Callable[[str], int]:
-    def read(text: str) -> int:
+def _integer_parser(limit: int) -> Callable[[str], int]:
+    def parse_integer(text: str) -> int:
         if not re.fullmatch(r"[0-9]{1,10}", text) or int(text) > limit:
             raise _Malformed(f"is not a whole number from 0 to {limit}")
         return int(text)
 
-    return read
+    return parse_integer
 
 
-def _flag(text: str) -> bool:
-    if text.lower() in _YES:
+def _parse_flag(text: str) -> bool:
+    if text.lower() in _TRUE_WORDS:
         return True
-    if text.lower() in _NO:
+    if text.lower() in _FALSE_WORDS:
         return False
     raise _Malformed("is not yes or no")
 
 
-def _request_id(text: str) -> str:
+def _parse_request_id(text: str) -> str:
     if not is_request_id(text):
         raise _Malformed("is not 1 to 64 letters, digits or ._:/-")
     return text
 
 
-def _session(text: str) -> str:
+def _parse_session_token(text: str) -> str:
     if len(text) > MAX_TOKEN_LENGTH:
         raise _Malformed(f"is longer than {MAX_TOKEN_LENGTH} characters")
     return text
 
 
-READERS: dict[str, Callable[[str], Any]] = {
-    "session": _session,
-    "max_age_ms": _number(MAX_AGE_MS),
-    "request_id": _request_id,
-    "repeatable": _flag,
-    "deadline_ms": _number(MAX_DEADLINE_MS),
+OPTION_PARSERS: dict[str, Callable[[str], Any]] = {
+    "session": _parse_session_token,
+    "max_age_ms": _integer_parser(MAX_AGE_MS),
+    "request_id": _parse_request_id,
+    "repeatable": _parse_flag,
+    "deadline_ms": _integer_parser(MAX_DEADLINE_MS),
 }
 
 
 def read_options(pairs: Mapping[str, str]) -> Options | MalformedOption:
-    """Return the options among some named values.
+    """Return the options in a mapping of names to values.
 
     Args:
-      pairs: Values by name; names that are no options are ignored.
+      pairs: The values by name; unknown names are ignored.
     """
     values = {}
     for name, text in pairs.items():
-        reader = READERS.get(name)
-        if reader is None:
+        parser = OPTION_PARSERS.get(name)
+        if parser is None:
             continue
         try:
-            values[name] = reader(text)
+            values[name] = parser(text)
         except _Malformed as error:
             return MalformedOption(f"option {name} {error}")
     return Options(**values) if values else NO_OPTIONS
@@ -129,7 +132,7 @@
 def options_from_attributes(
     attributes: Mapping[str, Any],
 ) -> Options | MalformedOption:
-    """Return the options among a statement's query attributes.
+    """Return the options in a statement's query attributes.
 
     Args:
       attributes: The attributes by name.
@@ -140,9 +143,9 @@
 
 
 def decode_value(text: str) -> str:
-    """Return a sqlcommenter value without its escapes.
+    """Return the decoded form of a sqlcommenter value.
 
     Args:
-      text: The value as it stands between the quotes.
+      text: The escaped text between the quotes.
     """
     return urllib.parse.unquote(text.replace("\\'", "'"))
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/statements/sql_comment.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/statements/sql_comment.py
@@ -1,4 +1,4 @@
-"""Options in a trailing comment of the sqlcommenter form."""
+"""Options in a trailing comment in sqlcommenter format."""
 
 import re
 
@@ -6,7 +6,7 @@
 
 from jackdawcrank.statements.options import (
     NO_OPTIONS,
-    READERS,
+    OPTION_PARSERS,
     MalformedOption,
     Options,
     decode_value,
@@ -17,15 +17,17 @@
 _PAIR = r"\s*([A-Za-z0-9_%.-]+)\s*=\s*'((?:[^'\\]|\\.)*)'\s*"
 _PAIRS = re.compile(rf"{_PAIR}(?:,{_PAIR})*,?\s*\Z")
 _ONE_PAIR = re.compile(_PAIR)
-_OPTION_NAME = re.compile(r"(?<![\w.%-])(" + "|".join(READERS) + r")\s*=")
+_OPTION_NAME = re.compile(
+    r"(?<![\w.%-])(" + "|".join(OPTION_PARSERS) + r")\s*="
+)
 
 
 @attrs.frozen
 class SplitStatement:
-    """A statement and the options that its comment held.
+    """A statement and the options from its comment.
 
     Attributes:
-      sql: The statement; without the comment if that held options.
+      sql: The statement, without the comment if it contains options.
       options: The options.
     """
 
@@ -34,9 +36,9 @@
 
 
 def split_options(sql: str) -> SplitStatement | MalformedOption:
-    """Return a statement apart from the options in its trailing comment.
+    """Split the options in the trailing comment from a statement.
 
-    A comment that names no option stays in the statement.
+    A comment that names no option is left in the statement.
 
     Args:
       sql: The statement as the caller sent it.
@@ -48,16 +50,18 @@
         return SplitStatement(sql, NO_OPTIONS)
     if not _PAIRS.match(match[1]):
         return MalformedOption("the options comment is malformed")
-    return _read_comment(sql[: match.start()].rstrip(), match[1])
+    return _parse_comment(sql[: match.start()].rstrip(), match[1])
 
 
-def _read_comment(sql: str, comment: str) -> SplitStatement | MalformedOption:
-    found = _ONE_PAIR.findall(comment)
-    names = [name for name, _ in found]
+def _parse_comment(sql: str, comment: str) -> SplitStatement | MalformedOption:
+    pairs = _ONE_PAIR.findall(comment)
+    names = [name for name, _ in pairs]
     repeated = {name for name in names if names.count(name) > 1}
-    if repeated & READERS.keys():
-        return MalformedOption(f"option {min(repeated)} stands twice")
-    options = read_options({k: decode_value(v) for k, v in found})
+    if repeated & OPTION_PARSERS.keys():
+        return MalformedOption(
+            f"option {min(repeated)} is given more than once"
+        )
+    options = read_options({k: decode_value(v) for k, v in pairs})
     if isinstance(options, MalformedOption):
         return options
     return SplitStatement(sql, options)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/breaker.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/breaker.py
@@ -1,55 +1,57 @@
-"""Stops asking a store that does not answer."""
+"""Circuit breaker for requests to the store."""
 
 import random
 
 import attrs
 
-FAILURES_TO_OPEN = 4
-FIRST_PAUSE_SECONDS = 0.5
-MAX_PAUSE_SECONDS = 5.0
+FAILURE_THRESHOLD = 4
+INITIAL_OPEN_SECONDS = 0.5
+MAX_OPEN_SECONDS = 5.0
 
 
 @attrs.define
 class CircuitBreaker:
-    """Opens after some failures in a row, for a random growing pause.
+    """Opens after `FAILURE_THRESHOLD` consecutive failures.
 
-    After the pause one request at a time may try again.
+    It stays open for a random time whose upper bound doubles with each
+    further failure, up to `MAX_OPEN_SECONDS`. After that, one probe at a
+    time is allowed.
 
     Attributes:
-      rng: The source of the pauses' jitter.
-      failures: Failures in a row.
-      open_until: When the next try may be made.
-      trying: Whether the single try after a pause is under way.
+      rng: The random source of the jitter.
+      failures: The number of consecutive failures.
+      open_until: The earliest time of the next probe, in monotonic seconds.
+      probe_in_flight: Whether a probe has been sent and has no outcome yet.
     """
 
     rng: random.Random
     failures: int = 0
     open_until: float = 0.0
-    trying: bool = False
+    probe_in_flight: bool = False
 
-    def allows(self, now: float) -> bool:
-        """Return whether a request may be sent, and count it as sent."""
-        if self.failures < FAILURES_TO_OPEN:
+    def allow_request(self, now: float) -> bool:
+        """Return whether a request may be sent; a probe counts as sent."""
+        if self.failures < FAILURE_THRESHOLD:
             return True
-        if now < self.open_until or self.trying:
+        if now < self.open_until or self.probe_in_flight:
             return False
-        self.trying = True
+        self.probe_in_flight = True
         return True
 
-    def succeeded(self) -> None:
-        """Record an answer."""
-        self.failures, self.trying = 0, False
+    def record_success(self) -> None:
+        """Record a usable response and close the breaker."""
+        self.failures, self.probe_in_flight = 0, False
 
-    def failed(self, now: float) -> None:
-        """Record that no usable answer came."""
+    def record_failure(self, now: float) -> None:
+        """Record a request without a usable response."""
         self.failures += 1
-        self.trying = False
-        rounds = self.failures - FAILURES_TO_OPEN
-        if rounds >= 0:
-            ceiling = FIRST_PAUSE_SECONDS * 2 ** min(rounds, 10)
-            pause = self.rng.uniform(0, min(ceiling, MAX_PAUSE_SECONDS))
+        self.probe_in_flight = False
+        extra_failures = self.failures - FAILURE_THRESHOLD
+        if extra_failures >= 0:
+            ceiling = INITIAL_OPEN_SECONDS * 2 ** min(extra_failures, 10)
+            pause = self.rng.uniform(0, min(ceiling, MAX_OPEN_SECONDS))
             self.open_until = now + pause
 
-    def abandoned(self) -> None:
-        """Record that a request was given up without a verdict."""
-        self.trying = False
+    def record_cancellation(self) -> None:
+        """Record a request that was cancelled before its outcome."""
+        self.probe_in_flight = False
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/client.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/client.py
@@ -1,4 +1,4 @@
-"""The platform's table service, object store and VM list."""
+"""Client of the platform's tables, object store and VM list."""
 
 import json
 import random
@@ -9,7 +9,6 @@
 
 import attrs
 
-from jackdawcrank.store.answer import Answer
 from jackdawcrank.store.channel import Channel, Request
 from jackdawcrank.store.limits import StoreLimits
 from jackdawcrank.store.outcome import (
@@ -25,6 +24,7 @@
     StoredObject,
     StoreUnavailable,
 )
+from jackdawcrank.store.response import StoreResponse
 from jackdawcrank.store.traffic import Traffic
 from jackdawcrank.store.transaction import Transaction
 from jackdawcrank_policy.values import Vm, VmState
@@ -38,18 +38,20 @@
 NOT_FOUND = 404
 CONFLICT = 409
 PRECONDITION_FAILED = 412
-WRITTEN = (OK, CREATED, NO_CONTENT)
-MALFORMED = (ValueError, KeyError, TypeError, AttributeError)
+SUCCESS_STATUSES = (OK, CREATED, NO_CONTENT)
+DECODE_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 class StoreClient:
-    """Asks the platform's services over HTTP; a failure is a value.
+    """Accesses the platform's services over HTTP.
+
+    Failures are returned as `StoreUnavailable`, not raised.
 
     Attributes:
-      channel: Sends the requests within their bounds.
-      limits: The bounds.
-      vms: The last VM list with its entity tag.
+      channel: Sends the requests within the limits.
+      limits: The limits.
+      vms: The entity tag and content of the last VM list.
     """
 
     def __init__(
@@ -59,13 +61,13 @@
         rng: random.Random | None = None,
         limits: StoreLimits | None = None,
     ) -> None:
-        """Make a client; `start` opens it.
+        """Create a client; call `start` before use.
 
         Args:
           url: The platform's base URL.
-          clock: Monotonic seconds.
-          rng: The source of jitter.
-          limits: The bounds on requests.
+          clock: Returns monotonic seconds.
+          rng: The random source of the jitter.
+          limits: The limits on requests.
         """
         self.limits = limits or StoreLimits()
         rng = rng or random.Random()
@@ -74,7 +76,7 @@
 
     @property
     def traffic(self) -> Traffic:
-        """Return the counts of what was sent and received."""
+        """Return the counters of requests and responses."""
         return self.channel.traffic
 
     async def start(self) -> None:
@@ -90,125 +92,125 @@
     ) -> Row | Absent | StoreUnavailable:
         """Read a row."""
         path = f"/tables/{quote(table, safe='')}/{quote(key, safe='/')}"
-        answer = await self.read(path)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status == NOT_FOUND:
+        response = await self.read(path)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status == NOT_FOUND:
             return Absent()
-        return decoded(answer, lambda body: row(key, body))
+        return decode_response(response, lambda body: row(key, body))
 
     async def scan(
         self, table: str, after: str = "", limit: int = 200
     ) -> Page | StoreUnavailable:
-        """Read the rows whose keys are greater than a key.
+        """Read a page of the rows whose keys are greater than a key.
 
         Args:
           table: The table's name.
-          after: The key before the first one wanted.
-          limit: The most rows to return.
+          after: The key after which to start.
+          limit: The maximum number of rows.
         """
         query = urlencode({"after": after, "limit": limit})
-        answer = await self.read(f"/tables/{quote(table, safe='')}?{query}")
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        return decoded(answer, page)
+        response = await self.read(f"/tables/{quote(table, safe='')}?{query}")
+        if isinstance(response, StoreUnavailable):
+            return response
+        return decode_response(response, page)
 
     async def transact(
         self, transaction: Transaction
     ) -> Committed | Conflict | StoreUnavailable:
-        """Write several rows together, if every check holds."""
+        """Write several rows atomically if every check passes."""
         body = json.dumps(attrs.asdict(transaction)).encode()
         request = Request(
             "POST",
             "/transactions",
-            self.limits.write_seconds,
+            self.limits.write_timeout_seconds,
             body,
             JSON_HEADERS,
         )
-        answer = await self.channel.send(request)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status == CONFLICT:
-            return decoded(answer, conflict, maybe_applied=False)
-        return decoded(answer, committed, maybe_applied=True)
+        response = await self.channel.send(request)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status == CONFLICT:
+            return decode_response(response, conflict, maybe_applied=False)
+        return decode_response(response, committed, maybe_applied=True)
 
     async def get_object(
         self, name: str
     ) -> StoredObject | Absent | StoreUnavailable:
         """Read an object."""
-        answer = await self.object_request("GET", name)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status == NOT_FOUND:
+        response = await self.object_request("GET", name)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status == NOT_FOUND:
             return Absent()
-        if answer.status != OK:
-            return unexpected(answer)
-        return StoredObject(answer.body, answer.etag)
+        if response.status != OK:
+            return unexpected_status(response)
+        return StoredObject(response.body, response.etag)
 
     async def put_object(
         self,
         name: str,
         data: bytes,
         if_match: str | None = None,
-        only_new: bool = False,
+        create_only: bool = False,
     ) -> ObjectWritten | PreconditionFailed | StoreUnavailable:
         """Write an object.
 
         Args:
           name: The object's name.
-          data: Its bytes.
-          if_match: The entity tag that the object must have.
-          only_new: Whether the object must not exist yet.
+          data: The object's content.
+          if_match: The required entity tag of the existing object.
+          create_only: Whether to fail if the object exists.
         """
         headers = {"If-Match": if_match} if if_match is not None else {}
-        if only_new:
+        if create_only:
             headers["If-None-Match"] = "*"
-        answer = await self.object_request("PUT", name, data, headers)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status == PRECONDITION_FAILED:
+        response = await self.object_request("PUT", name, data, headers)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status == PRECONDITION_FAILED:
             return PreconditionFailed()
-        if answer.status not in WRITTEN:
-            return unexpected(answer, maybe_applied=True)
-        return ObjectWritten(answer.etag)
+        if response.status not in SUCCESS_STATUSES:
+            return unexpected_status(response, maybe_applied=True)
+        return ObjectWritten(response.etag)
 
     async def delete_object(self, name: str) -> Deleted | StoreUnavailable:
-        """Remove an object; one that is not there counts as removed."""
-        answer = await self.object_request("DELETE", name)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status not in (*WRITTEN, NOT_FOUND):
-            return unexpected(answer, maybe_applied=True)
+        """Delete an object; a missing object counts as deleted."""
+        response = await self.object_request("DELETE", name)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status not in (*SUCCESS_STATUSES, NOT_FOUND):
+            return unexpected_status(response, maybe_applied=True)
         return Deleted()
 
     async def list_objects(
         self, prefix: str
     ) -> tuple[str, ...] | StoreUnavailable:
-        """Return the names of the objects that begin with a prefix."""
-        answer = await self.read(f"/objects?{urlencode({'prefix': prefix})}")
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        return decoded(answer, object_names)
+        """Return the names of the objects with a prefix."""
+        response = await self.read(f"/objects?{urlencode({'prefix': prefix})}")
+        if isinstance(response, StoreUnavailable):
+            return response
+        return decode_response(response, object_names)
 
     async def list_vms(self) -> tuple[Vm, ...] | StoreUnavailable:
-        """Return the platform's list of VMs, which lags."""
-        etag, known = self.vms
+        """Return the platform's list of VMs, which may be outdated."""
+        etag, cached_vms = self.vms
         headers = {"If-None-Match": etag} if etag else {}
-        answer = await self.read("/vms", headers)
-        if isinstance(answer, StoreUnavailable):
-            return answer
-        if answer.status == NOT_MODIFIED:
-            return known
-        vms = decoded(answer, vm_list)
+        response = await self.read("/vms", headers)
+        if isinstance(response, StoreUnavailable):
+            return response
+        if response.status == NOT_MODIFIED:
+            return cached_vms
+        vms = decode_response(response, vm_list)
         if not isinstance(vms, StoreUnavailable):
-            self.vms = (answer.etag, vms)
+            self.vms = (response.etag, vms)
         return vms
 
     async def read(
         self, path: str, headers: dict[str, str] | None = None
-    ) -> Answer | StoreUnavailable:
-        """Send a read of a table or list."""
-        seconds = self.limits.read_seconds
+    ) -> StoreResponse | StoreUnavailable:
+        """Send a read of a table or a list."""
+        seconds = self.limits.read_timeout_seconds
         request = Request("GET", path, seconds, headers=headers or {})
         return await self.channel.send(request)
 
@@ -218,51 +220,57 @@
         name: str,
         data: bytes = b"",
         headers: dict[str, str] | None = None,
-    ) -> Answer | StoreUnavailable:
+    ) -> StoreResponse | StoreUnavailable:
         """Send a request about one object."""
         path = f"/objects/{quote(name, safe='/')}"
-        seconds = self.limits.object_seconds
+        seconds = self.limits.object_timeout_seconds
         request = Request(method, path, seconds, data, headers or {})
         return await self.channel.send(request)
 
 
-def decoded(
-    answer: Answer, decode: Callable[[Any], T], maybe_applied: bool = False
+def decode_response(
+    response: StoreResponse,
+    decode: Callable[[Any], T],
+    maybe_applied: bool = False,
 ) -> T | StoreUnavailable:
-    """Return what an answer's JSON means, or that it is of no use."""
-    if answer.status not in (OK, CONFLICT):
-        return unexpected(answer)
+    """Return a decoded JSON body; unavailable if it is malformed."""
+    if response.status not in (OK, CONFLICT):
+        return unexpected_status(response)
     try:
-        return decode(answer.document())
-    except MALFORMED as error:
-        detail = f"malformed answer: {error!r}"
+        return decode(response.document())
+    except DECODE_ERRORS as error:
+        detail = f"malformed response: {error!r}"
         return StoreUnavailable(maybe_applied, detail)
 
 
-def unexpected(answer: Answer, maybe_applied: bool = False) -> StoreUnavailable:
-    """Return the outcome for a status that the contract does not name."""
-    detail = f"the store answered {answer.status}: {answer.body[:200]!r}"
+def unexpected_status(
+    response: StoreResponse, maybe_applied: bool = False
+) -> StoreUnavailable:
+    """Return the failure for an HTTP status outside the contract."""
+    detail = (
+        f"the store returned HTTP {response.status}: {response.body[:200]!r}"
+    )
     return StoreUnavailable(maybe_applied, detail)
 
 
 def row(key: str, body: dict[str, Any]) -> Row:
-    """Return the row in the answer to a read of one row."""
+    """Return the row in a response to a read of one row."""
     return Row(key, body["value"], int(body["version"]))
 
 
 def page(body: dict[str, Any]) -> Page:
-    """Return the rows in the answer to a scan."""
+    """Return the page in a response to a scan."""
     rows = tuple(row(item["key"], item) for item in body["rows"])
     return Page(rows, bool(body["more"]))
 
 
 def committed(body: dict[str, Any]) -> Committed:
-    """Return the outcome of a transaction that took effect."""
+    """Return the outcome of a committed transaction."""
     return Committed({k: int(v) for k, v in body["versions"].items()})
 
 
 def conflict(body: dict[str, Any]) -> Conflict:
-    """Return the outcome of a transaction whose checks failed."""
+    """Return the outcome of a transaction that failed a check."""
     rows = (
         ConflictingRow(
             item["table"], item["key"], item.get("version"), item.get("value")
@@ -273,12 +281,12 @@
 
 
 def object_names(body: dict[str, Any]) -> tuple[str, ...]:
-    """Return the names in a list of objects."""
+    """Return the names in an object list."""
     return tuple(str(name) for name in body["names"])
 
 
 def vm_list(body: dict[str, Any]) -> tuple[Vm, ...]:
-    """Return the VMs in the platform's list."""
+    """Return the VMs in a VM list."""
     return tuple(vm_from(item) for item in body["vms"])
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/group_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/group_rows.py
@@ -1,4 +1,4 @@
-"""The group rows in the platform's table service."""
+"""Group rows in the platform's table service."""
 
 import attrs
 
@@ -24,8 +24,8 @@
 
     Attributes:
       store: The store.
-      change_log: Writes changes.
-      actor: Who claims terms: the VM's name.
+      change_log: The change log, through which rows are changed.
+      actor: The name of the VM that claims terms.
     """
 
     store: StoreClient
@@ -37,43 +37,43 @@
     ) -> Stored | Conflict | StoreUnavailable:
         """Compare-and-set a group's row together with the log's head.
 
-        A claim that is repeated after a lost answer finds the row that it
-        had written and counts as stored.
+        A claim that is repeated after a lost response finds the row that it
+        wrote and is reported as stored.
         """
-        answer = await self.change_log.append_group_row(
+        result = await self.change_log.append_group_row(
             new.group,
             encode_group_row(new),
-            lambda row: row_in(row) == expected,
+            lambda row: decode_optional_row(row) == expected,
             self.actor,
         )
-        if isinstance(answer, Appended):
-            return Stored(answer.version)
-        if isinstance(answer, ChangeConflict):
-            return settled(answer, new)
-        if isinstance(answer, outcome.StoreUnavailable):
-            return StoreUnavailable(answer.detail)
-        raise TypeError(f"not an outcome of a claim: {answer!r}")
+        if isinstance(result, Appended):
+            return Stored(result.version)
+        if isinstance(result, ChangeConflict):
+            return claim_outcome(result, new)
+        if isinstance(result, outcome.StoreUnavailable):
+            return StoreUnavailable(result.detail)
+        raise TypeError(f"unexpected outcome of a claim: {result!r}")
 
     async def read(self, group: str) -> GroupRow | None | StoreUnavailable:
-        """Return a group's row as it stands in the store."""
-        answer = await self.store.get("groups", group)
-        if isinstance(answer, outcome.StoreUnavailable):
-            return StoreUnavailable(answer.detail)
-        if isinstance(answer, outcome.Absent):
+        """Read a group's row; None if it does not exist."""
+        result = await self.store.get("groups", group)
+        if isinstance(result, outcome.StoreUnavailable):
+            return StoreUnavailable(result.detail)
+        if isinstance(result, outcome.Absent):
             return None
-        row = decode_group_row(answer.value)
+        row = decode_group_row(result.value)
         if row is None:
             return StoreUnavailable(f"the row of {group} is malformed")
         return row
 
 
-def row_in(row: outcome.Row | None) -> GroupRow | None:
-    """Return the group row in a row of the table."""
+def decode_optional_row(row: outcome.Row | None) -> GroupRow | None:
+    """Return the group row in a table row; None for no or malformed row."""
     return None if row is None else decode_group_row(row.value)
 
 
-def settled(conflict: ChangeConflict, new: GroupRow) -> Stored | Conflict:
-    """Return whether the row that stands is the one to be written."""
+def claim_outcome(conflict: ChangeConflict, new: GroupRow) -> Stored | Conflict:
+    """Return `Stored` if the current row equals the claimed row."""
     value = conflict.current
     current = None if value is None else decode_group_row(value)
     if current == new:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/answer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/response.py
@@ -1,4 +1,4 @@
-"""An HTTP answer of the store."""
+"""HTTP responses of the store."""
 
 import json
 from collections.abc import Mapping
@@ -8,12 +8,12 @@
 
 
 @attrs.frozen
-class Answer:
-    """A complete HTTP answer.
+class StoreResponse:
+    """A complete HTTP response.
 
     Attributes:
-      status: The HTTP status.
-      body: The body's bytes.
+      status: The HTTP status code.
+      body: The body in bytes.
       headers: The header fields.
     """
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/store/write.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/store/write.py
@@ -1,4 +1,4 @@
-"""A change of a row that is about to be made."""
+"""Pending writes and the transactions that commit them."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -16,19 +16,19 @@
 )
 from jackdawcrank_policy.configuration import Change, Kind
 
-Expectation = Callable[[Row | None], bool]
+RowPrecondition = Callable[[Row | None], bool]
 
 
 @attrs.frozen
 class Write:
-    """A change that is about to be made.
+    """A pending change of one row.
 
     Attributes:
-      kind: The kind of row.
+      kind: The kind of the row.
       name: The row's name.
-      body: The row's new value; None deletes it.
-      actor: Who makes the change.
-      token: The token that tells this write from every other.
+      body: The row's new value; None deletes the row.
+      actor: The user or VM that makes the change.
+      token: A unique identifier of this write.
     """
 
     kind: str
@@ -39,7 +39,7 @@
 
     @property
     def table(self) -> str:
-        """Return the table that holds the row."""
+        """Return the name of the row's table."""
         return "groups" if self.kind == Kind.GROUP_ROW else "resources"
 
     @property
@@ -50,17 +50,18 @@
         return f"{self.kind}/{self.name}"
 
 
-def at_version(version: int | None) -> Expectation:
-    """Return the expectation that a resource is at a version.
+def version_precondition(version: int | None) -> RowPrecondition:
+    """Return a precondition on a resource's version.
 
     Args:
-      version: The resource version; 0 for no row, None for any.
+      version: The required version; 0 if the resource must not exist, None
+        for any.
     """
 
-    def holds(row: Row | None) -> bool:
+    def matches(row: Row | None) -> bool:
         return version is None or resource_version(row) == version
 
-    return holds
+    return matches
 
 
 def resource_version(row: Row | None) -> int:
@@ -70,38 +71,39 @@
     return int(row.value.get("resource_version", 0))
 
 
-def already_so(write: Write, present: Row | None) -> bool:
-    """Return whether a resource is as a write would make it.
+def already_applied(write: Write, current_row: Row | None) -> bool:
+    """Return whether a resource already has the state that a write sets.
 
-    A repeated write, whose first answer was lost, is recognized by this.
+    This recognizes a write that is repeated because its first response was
+    lost.
 
     Args:
       write: The write.
-      present: The resource's row; None if there is none.
+      current_row: The resource's row; None if it does not exist.
     """
     if write.kind == Kind.GROUP_ROW:
         return False
-    if write.body is None or present is None:
-        return write.body is None and present is None
-    body = dict(present.value)
+    if write.body is None or current_row is None:
+        return write.body is None and current_row is None
+    body = dict(current_row.value)
     body.pop("resource_version", None)
     return body == dict(write.body)
 
 
 def transaction_for(
-    write: Write, change: Change, head: Head, present: Row | None
+    write: Write, change: Change, head: Head, current_row: Row | None
 ) -> Transaction:
-    """Return the transaction that makes a change.
+    """Return the transaction that commits a change.
 
     Args:
-      write: What is to be written.
-      change: The change as the change log shall hold it.
-      head: The head that the change follows.
-      present: The row that it replaces; None if there is none.
+      write: The pending write.
+      change: The entry for the change log.
+      head: The head of the change log before the change.
+      current_row: The row to replace; None if it does not exist.
     """
-    moved = attrs.evolve(head, version=change.version)
+    new_head = attrs.evolve(head, version=change.version)
     puts = [
-        RowPut(HEAD, HEAD, moved.value()),
+        RowPut(HEAD, HEAD, new_head.value()),
         RowPut("changes", change_key(change.version), encode_change(change)),
     ]
     deletes: tuple[RowDelete, ...] = ()
@@ -109,7 +111,7 @@
         deletes = (RowDelete(write.table, write.key),)
     else:
         puts.append(RowPut(write.table, write.key, dict(change.document)))
-    row_version = present.version if present is not None else None
+    row_version = current_row.version if current_row is not None else None
     checks = (
         RowCheck(HEAD, HEAD, head.row_version),
         RowCheck(write.table, write.key, row_version),
