--- a/packages/jackdawcrank-proxy/src/jackdawcrank/backend/mysql_control.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/backend/mysql_control.py
@@ -39,7 +39,7 @@
         self.order_link: ServerLink | None = None
         self.confirm_links: list[ServerLink] = []
         self.probe_lock = asyncio.Lock()
-        self.order_lock = asyncio.Lock()
+        self.command_lock = asyncio.Lock()
 
     async def close(self) -> None:
         """Close the connections."""
@@ -56,7 +56,9 @@
           timeout_seconds: The longest that this may take.
         """
         async with self.probe_lock:
-            link = await self._live(self.probe_link, timeout_seconds)
+            link = await self._usable_connection(
+                self.probe_link, timeout_seconds
+            )
             if isinstance(link, Unreachable):
                 return link
             self.probe_link = link
@@ -73,7 +75,7 @@
           timeout_seconds: The longest that this may take.
         """
         sql = f"SET GLOBAL group_term = {term:d}"
-        return await self._order(sql, timeout_seconds)
+        return await self._run_command(sql, timeout_seconds)
 
     async def announce_primary(
         self, term: int, offset: int, primary: str, timeout_seconds: float
@@ -87,7 +89,7 @@
           timeout_seconds: The longest that this may take.
         """
         sql = f"SET GLOBAL group_primary = '{term:d}:{offset:d}:{primary}'"
-        return await self._order(sql, timeout_seconds)
+        return await self._run_command(sql, timeout_seconds)
 
     async def confirm(
         self, position: Position, timeout_seconds: float
@@ -99,7 +101,7 @@
           timeout_seconds: The longest that this may take.
         """
         spare = self.confirm_links.pop() if self.confirm_links else None
-        link = await self._live(spare, timeout_seconds)
+        link = await self._usable_connection(spare, timeout_seconds)
         if isinstance(link, Unreachable):
             return None
         sql = f"SELECT WAIT_FOR_LOG_POSITION('{position}', {timeout_seconds})"
@@ -112,11 +114,13 @@
         term = answer.rows[0][0]
         return None if term is None else int(term)
 
-    async def _order(
+    async def _run_command(
         self, sql: str, timeout_seconds: float
     ) -> Accepted | Refused | Unreachable:
-        async with self.order_lock:
-            link = await self._live(self.order_link, timeout_seconds)
+        async with self.command_lock:
+            link = await self._usable_connection(
+                self.order_link, timeout_seconds
+            )
             if isinstance(link, Unreachable):
                 return link
             self.order_link = link
@@ -127,7 +131,7 @@
             return Refused(answer.code, answer.message)
         return Unreachable(str(answer))
 
-    async def _live(
+    async def _usable_connection(
         self, link: ServerLink | None, timeout_seconds: float
     ) -> ServerLink | Unreachable:
         if link is not None and link.usable:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_link.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_link.py
@@ -56,7 +56,7 @@
       usable: Whether the connection may run another statement.
       last_answer_at: When the server last answered, on the monotonic clock.
       dirty: Whether session state may be left that a reset must clear.
-      asked_at: When the statement under way was sent; None while idle.
+      statement_sent_at: When the statement under way was sent; None while idle.
     """
 
     def __init__(self, server: str, connection: Any) -> None:
@@ -64,7 +64,7 @@
         self.connection = connection
         self.usable = True
         self.dirty = False
-        self.asked_at: float | None = None
+        self.statement_sent_at: float | None = None
         self.last_answer_at = time.monotonic()
 
     @classmethod
@@ -117,8 +117,8 @@
         # Closing the connection at the deadline ends the read below; it costs
         # less than a timeout context on every statement.
         loop = asyncio.get_running_loop()
-        alarm = loop.call_later(timeout_seconds, self.close)
-        self.asked_at = time.monotonic()
+        deadline_timer = loop.call_later(timeout_seconds, self.close)
+        self.statement_sent_at = time.monotonic()
         try:
             await self.connection.query(sql)
         except asyncmy_errors.MySQLError as error:
@@ -129,8 +129,8 @@
         except (OSError, EOFError, RuntimeError, ValueError) as error:
             return self._lost(str(error) or type(error).__name__)
         finally:
-            alarm.cancel()
-            self.asked_at = None
+            deadline_timer.cancel()
+            self.statement_sent_at = None
         self.last_answer_at = time.monotonic()
         return _read_result(self.connection._result)
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_pool.py
@@ -63,7 +63,7 @@
         self.in_use = 0
         self.opening = 0
         self.draining = False
-        self.suspect_since = 0.0
+        self.last_loss_at = 0.0
         self.pinged_at = 0.0
         self.idle: list[ServerLink] = []
         self.busy: set[ServerLink] = set()
@@ -71,7 +71,7 @@
             collections.deque()
         )
         self.tasks: set[asyncio.Task[None]] = set()
-        self.keeper: asyncio.Task[None] | None = None
+        self.maintenance_task: asyncio.Task[None] | None = None
 
     @property
     def open_count(self) -> int:
@@ -80,15 +80,15 @@
 
     def start(self) -> None:
         """Start to keep connections warm and checked."""
-        self.keeper = asyncio.create_task(self._keep())
+        self.maintenance_task = asyncio.create_task(self._maintain())
 
     async def close(self) -> None:
         """Close every idle connection and stop the background work."""
         self.draining = True
-        if self.keeper is not None:
-            self.keeper.cancel()
+        if self.maintenance_task is not None:
+            self.maintenance_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self.keeper
+                await self.maintenance_task
         for task in tuple(self.tasks):
             task.cancel()
         self._close_idle()
@@ -159,15 +159,15 @@
                 self.in_use -= 1
                 self._drop(link, "lost")
                 continue
-            if link.last_answer_at >= self.suspect_since:
+            if link.last_answer_at >= self.last_loss_at:
                 return link
-            if await self._checked(link):
+            if await self._is_alive(link):
                 return link
             self.in_use -= 1
             self._drop(link, "silent")
         return None
 
-    async def _checked(self, link: ServerLink) -> bool:
+    async def _is_alive(self, link: ServerLink) -> bool:
         try:
             return await link.ping(PING_TIMEOUT_SECONDS)
         except asyncio.CancelledError:
@@ -223,7 +223,7 @@
             self._wake_one()
 
     def _drop(self, link: ServerLink, why: str) -> None:
-        self.suspect_since = time.monotonic()
+        self.last_loss_at = time.monotonic()
         link.close()
         self.on_drop(self.endpoint.server, why)
 
@@ -231,13 +231,13 @@
         while self.idle:
             self.idle.pop().close()
 
-    async def _keep(self) -> None:
+    async def _maintain(self) -> None:
         while True:
             self._drop_ended()
             if self._answer_is_late():
-                await self._check_silence()
+                await self._drop_silent_busy()
             await self._check_oldest_idle()
-            await self._add_warm()
+            await self._open_warm_connections()
             await asyncio.sleep(IDLE_CHECK_SECONDS)
 
     def _drop_ended(self) -> None:
@@ -256,7 +256,7 @@
         self.pinged_at = time.monotonic()
         self.idle.remove(link)
         self.in_use += 1
-        answered = await self._checked(link)
+        answered = await self._is_alive(link)
         self._finish_release(link)
         if not answered:
             await self._check_all_idle()
@@ -266,7 +266,7 @@
         idle = list(self.idle)
         self.idle.clear()
         self.in_use += len(idle)
-        answers = await asyncio.gather(*map(self._checked, idle))
+        answers = await asyncio.gather(*map(self._is_alive, idle))
         for link in idle:
             self._finish_release(link)
         return not all(answers)
@@ -274,17 +274,20 @@
     def _answer_is_late(self) -> bool:
         late_before = time.monotonic() - LATE_ANSWER_SECONDS
         return any(
-            link.asked_at is not None and link.asked_at < late_before
+            link.statement_sent_at is not None
+            and link.statement_sent_at < late_before
             for link in self.busy
         )
 
-    async def _check_silence(self) -> None:
+    async def _drop_silent_busy(self) -> None:
         """Tell slow statements from connections that went silent for good.
 
         Where idle connections are silent too and a new one works, whatever
         lies between has lost track of the old ones.
         """
-        suspected = [link for link in self.busy if link.asked_at is not None]
+        suspected = [
+            link for link in self.busy if link.statement_sent_at is not None
+        ]
         if not await self._check_all_idle():
             return
         fresh = await self._open(CONNECT_TIMEOUT_SECONDS)
@@ -292,11 +295,11 @@
             return
         self._finish_release(fresh)
         for link in suspected:
-            if link in self.busy and link.asked_at is not None:
+            if link in self.busy and link.statement_sent_at is not None:
                 self.on_drop(self.endpoint.server, "silent")
                 link.close()
 
-    async def _add_warm(self) -> None:
+    async def _open_warm_connections(self) -> None:
         wanted = min(self.warm, self.limit)
         while self.open_count < wanted and not self.draining:
             link = await self._open(CONNECT_TIMEOUT_SECONDS)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/background_tasks.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/background_tasks.py
@@ -14,20 +14,20 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.closed = False
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine beside the caller.
 
         Args:
-          work: The coroutine; what it raises is logged.
+          coroutine: The coroutine; what it raises is logged.
         """
         if self.closed:
-            work.close()
+            coroutine.close()
             return
-        task = asyncio.create_task(work)
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self.finish)
+        task.add_done_callback(self.handle_done)
 
-    def finish(self, task: asyncio.Task[None]) -> None:
+    def handle_done(self, task: asyncio.Task[None]) -> None:
         """Forget a task that has ended."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/claim_watch.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/claim_watch.py
@@ -73,7 +73,7 @@
         elif found is None and self.context.row is None:
             await self.driver.promote(PromotionCause.BOOTSTRAP)
 
-    def take_row(self, row: GroupRow) -> None:
+    def update_row(self, row: GroupRow) -> None:
         """Plan to take over a claimed term that may be left unopened.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_agent.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_agent.py
@@ -38,8 +38,8 @@
 )
 from jackdawcrank_wire.events import EventKind
 
-UPKEEP_INTERVAL_SECONDS = 1.0
-UPKEEP_STEADY_SECONDS = 2.0
+RECONCILE_INTERVAL_SECONDS = 1.0
+HOMES_STABLE_SECONDS = 2.0
 ANNOUNCE_ROW_TIMEOUT_SECONDS = 0.5
 MAX_SWITCH_OVER_LAG = 1000
 
@@ -92,25 +92,27 @@
         self.on_row = on_row
         self.on_report = on_report
         self.rng = rng or random.Random()
-        self.probes = GroupProbes(self.context.servers, timer, self.take_result)
+        self.probes = GroupProbes(
+            self.context.servers, timer, self.handle_probe_result
+        )
         self.driver = PromotionDriver(self.context, self.probes, self.store_row)
         self.primary_watch = PrimaryWatch(
             self.context, self.probes, self.driver
         )
         self.claim_watch = ClaimWatch(self.context, self.probes, self.driver)
         self.server_alignment = ServerAlignment(self.context)
-        self.homes_since = 0.0
-        self.upkeep_subscription: Subscription | None = None
+        self.homes_changed_at = 0.0
+        self.reconcile_subscription: Subscription | None = None
 
     async def start(self) -> None:
         """Begin to watch the group."""
-        self.homes_since = self.context.timer.now()
+        self.homes_changed_at = self.context.timer.now()
         self.probes.start()
         self.claim_watch.start()
-        self.upkeep_subscription = self.context.timer.subscribe(
+        self.reconcile_subscription = self.context.timer.subscribe(
             f"upkeep {self.context.spec.name}",
-            UPKEEP_INTERVAL_SECONDS,
-            self.keep_up,
+            RECONCILE_INTERVAL_SECONDS,
+            self.reconcile,
             jitter_fraction=0.1,
             rng=self.rng,
         )
@@ -118,8 +120,8 @@
     async def close(self) -> None:
         """Stop watching; a promotion under way is left to other homes."""
         self.context.closed = True
-        if self.upkeep_subscription is not None:
-            self.upkeep_subscription.close()
+        if self.reconcile_subscription is not None:
+            self.reconcile_subscription.close()
         self.claim_watch.close()
         await self.probes.close()
         await self.context.tasks.close()
@@ -149,9 +151,9 @@
             return
         context.homes = homes
         context.live = live
-        self.homes_since = context.timer.now()
+        self.homes_changed_at = context.timer.now()
         if context.row is not None:
-            self.probes.take_row(context.row, context.is_acting)
+            self.probes.update_row(context.row, context.is_acting)
 
     def spec_changed(self, spec: GroupSpec, avoid: frozenset[str]) -> None:
         """Take the group's declaration after a change.
@@ -193,9 +195,9 @@
         context.leases.install(row, version)
         if row.phase is GroupPhase.ACTIVE:
             context.blocked = ""
-        self.primary_watch.take_row(earlier, row)
-        self.claim_watch.take_row(row)
-        self.probes.take_row(row, context.is_acting)
+        self.primary_watch.update_row(earlier, row)
+        self.claim_watch.update_row(row)
+        self.probes.update_row(row, context.is_acting)
 
     def row_announced(self, row: GroupRow, version: int) -> None:
         """Take a row that another VM pushed ahead of the change log."""
@@ -211,7 +213,7 @@
         context.leases.give_up(context.spec.name, term - 1)
         if context.row is not None and context.row.term < term:
             context.history.observe_claim(context.timer.now())
-        context.tell(EventKind.LEASE_GIVEN_UP, claim=term)
+        context.record_event(EventKind.LEASE_GIVEN_UP, claim=term)
         return True
 
     async def suspicion_asked(self) -> PrimaryEvidence:
@@ -242,7 +244,7 @@
         Args:
           server: The server's name.
         """
-        self.probes.probe_soon(server)
+        self.probes.probe_immediately(server)
 
     async def switch_over(self, target: str | None = None) -> SwitchOverOutcome:
         """Move a healthy primary to another server.
@@ -268,13 +270,13 @@
         lag = end_offset - reports[chosen].position.offset
         if lag > MAX_SWITCH_OVER_LAG:
             return Refused(f"{chosen} is {lag} entries behind")
-        await self.wait_for_promises()
+        await self.wait_for_removed_writers()
         if self.driver.busy or self.context.row != row:
             return Refused("the group changed meanwhile")
         cause = PromotionCause.SWITCH_OVER
         return _to_outcome(await self.driver.promote(cause, chosen))
 
-    async def wait_for_promises(self) -> None:
+    async def wait_for_removed_writers(self) -> None:
         """Wait until the writers' promises suffice to close the leases."""
         left = (
             self.context.history.removed_writers_expire_at
@@ -310,7 +312,7 @@
         ]
         return min(candidates)[2] if candidates else None
 
-    def take_result(self, result: ProbeResult) -> None:
+    def handle_probe_result(self, result: ProbeResult) -> None:
         """Act on a probe's result."""
         report = result.report
         if report is not None and self.on_report is not None:
@@ -337,13 +339,13 @@
             home, row, version, ANNOUNCE_ROW_TIMEOUT_SECONDS
         )
 
-    async def keep_up(self, now: float) -> None:
+    async def reconcile(self, now: float) -> None:
         """Bring the row's writers and coordinator in line with the homes."""
         context = self.context
         row = context.row
         if row is None or self.driver.busy:
             return
-        if now - self.homes_since < UPKEEP_STEADY_SECONDS:
+        if now - self.homes_changed_at < HOMES_STABLE_SECONDS:
             return
         freed = context.history.freed(now)
         wanted = reconcile_row(
@@ -354,7 +356,9 @@
         outcome = await context.store.claim(row, wanted)
         if isinstance(outcome, Stored):
             self.store_row(wanted, outcome.version)
-            context.tell(EventKind.HOMES_CHANGED, writers=wanted.writers)
+            context.record_event(
+                EventKind.HOMES_CHANGED, writers=wanted.writers
+            )
 
 
 def _to_outcome(end: Finished | Abandoned) -> SwitchOverOutcome:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_context.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_context.py
@@ -23,7 +23,7 @@
 RowCallback = Callable[[GroupRow, int], None]
 
 
-async def _nothing() -> None:
+async def _no_op() -> None:
     """Wait for nothing."""
 
 
@@ -63,7 +63,7 @@
     avoid: frozenset[str] = frozenset()
     history: RowHistory = attrs.field(factory=RowHistory)
     tasks: BackgroundTasks = attrs.field(factory=BackgroundTasks)
-    quiesce: Callable[[], Awaitable[None]] = _nothing
+    quiesce: Callable[[], Awaitable[None]] = _no_op
     blocked: str = ""
     closed: bool = False
 
@@ -96,7 +96,7 @@
             self.history.freed(self.timer.now()),
         )
 
-    def tell(self, kind: EventKind, **detail: object) -> None:
+    def record_event(self, kind: EventKind, **detail: object) -> None:
         """Record an event of the group."""
         term = self.row.term if self.row else 0
         self.on_event(kind, group=self.spec.name, term=term, **detail)
@@ -106,7 +106,7 @@
         if reason == self.blocked:
             return
         self.blocked = reason
-        self.tell(EventKind.PROMOTION_ABANDONED, reason=reason)
+        self.record_event(EventKind.PROMOTION_ABANDONED, reason=reason)
 
     async def pause(self, seconds: float) -> None:
         """Wait."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_probes.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/group_probes.py
@@ -18,11 +18,11 @@
     ServerRole,
 )
 
-CALM_INTERVAL_SECONDS = 1.0
-CALM_PRIMARY_INTERVAL_SECONDS = 0.5
-FRESH_SECONDS = 0.3
-RECENT_SECONDS = 2.0
-TAKE_OFFICE_SECONDS = 1.0
+STEADY_PROBE_INTERVAL_SECONDS = 1.0
+STEADY_PRIMARY_PROBE_INTERVAL_SECONDS = 0.5
+MAX_ANSWER_AGE_SECONDS = 0.3
+MAX_REPORT_AGE_SECONDS = 2.0
+PRIMARY_GRACE_SECONDS = 1.0
 NEW_TERM_SECONDS = 2.0
 
 
@@ -49,7 +49,10 @@
         self.coordinating = False
         self.probes = {
             name: ServerProbe(
-                server, CALM_INTERVAL_SECONDS, timer, self.take_result
+                server,
+                STEADY_PROBE_INTERVAL_SECONDS,
+                timer,
+                self.handle_probe_result,
             )
             for name, server in servers.items()
         }
@@ -69,11 +72,14 @@
         if earlier is not None:
             earlier.stop()
         probe = ServerProbe(
-            server, CALM_INTERVAL_SECONDS, self.timer, self.take_result
+            server,
+            STEADY_PROBE_INTERVAL_SECONDS,
+            self.timer,
+            self.handle_probe_result,
         )
         self.probes[server.name] = probe
         probe.start()
-        self.set_pace()
+        self.update_probe_intervals()
 
     async def remove(self, name: str) -> None:
         """Stop probing a server that left the group."""
@@ -86,7 +92,7 @@
         """Return the name of the row's primary; empty for none."""
         return self.row.primary if self.row else ""
 
-    def take_row(self, row: GroupRow, coordinating: bool) -> None:
+    def update_row(self, row: GroupRow, coordinating: bool) -> None:
         """Take the group's newest row.
 
         Args:
@@ -100,40 +106,40 @@
         if changed:
             self.row_since = now
             self.detector.reset(now)
-        self.set_pace()
+        self.update_probe_intervals()
 
-    def set_pace(self) -> None:
+    def update_probe_intervals(self) -> None:
         """Probe often in a new term or in suspicion, else as often as needed.
 
         The coordinator watches the primary closely; a replica matters only
         once the primary is in doubt.
         """
         new = self.timer.now() - self.row_since < NEW_TERM_SECONDS
-        eager = new or self.detector.misses > 0
+        probe_all_often = new or self.detector.misses > 0
         for name, probe in self.probes.items():
             is_primary = name == self.primary
-            if eager or (is_primary and self.coordinating):
-                probe.hasten(PROBE_INTERVAL_SECONDS)
+            if probe_all_often or (is_primary and self.coordinating):
+                probe.set_interval(PROBE_INTERVAL_SECONDS)
             elif is_primary:
-                probe.hasten(CALM_PRIMARY_INTERVAL_SECONDS)
+                probe.set_interval(STEADY_PRIMARY_PROBE_INTERVAL_SECONDS)
             else:
-                probe.hasten(CALM_INTERVAL_SECONDS)
+                probe.set_interval(STEADY_PROBE_INTERVAL_SECONDS)
 
-    def take_result(self, result: ProbeResult) -> None:
+    def handle_probe_result(self, result: ProbeResult) -> None:
         """Feed the detector with a probe's result."""
         if result.server != self.primary:
             if result.report is not None:
                 self.detector.other_answered(result.sent_at)
         elif result.report is None:
-            self.take_primary_silence(result)
-        elif self.serves(result.report, result.ended_at):
+            self.handle_missing_report(result)
+        elif self.is_serving(result.report, result.ended_at):
             self.detector.answered(result.sent_at, result.ended_at)
         else:
             self.detector.missed(result.sent_at, result.ended_at)
-        self.set_pace()
+        self.update_probe_intervals()
         self.on_result(result)
 
-    def take_primary_silence(self, result: ProbeResult) -> None:
+    def handle_missing_report(self, result: ProbeResult) -> None:
         """Feed the detector with a probe that brought no report."""
         if result.alive:
             self.detector.answered(result.sent_at, result.ended_at)
@@ -142,11 +148,11 @@
         else:
             self.detector.missed(result.sent_at, result.ended_at)
 
-    def serves(self, report: ServerReport, now: float) -> bool:
+    def is_serving(self, report: ServerReport, now: float) -> bool:
         """Return whether the primary's report fits its office.
 
         A primary that lost its state answers, but not as the primary of the
-        term. It is given `TAKE_OFFICE_SECONDS` after the row changed.
+        term. It is given `PRIMARY_GRACE_SECONDS` after the row changed.
         """
         row = self.row
         if row is None or row.phase is not GroupPhase.ACTIVE:
@@ -155,26 +161,26 @@
             return True
         if report.term == row.term and report.role is ServerRole.PRIMARY:
             return True
-        return now - self.row_since < TAKE_OFFICE_SECONDS
+        return now - self.row_since < PRIMARY_GRACE_SECONDS
 
     def reports(self) -> dict[str, ServerReport]:
         """Return the newest reports that are recent."""
-        horizon = self.timer.now() - RECENT_SECONDS
+        oldest_allowed = self.timer.now() - MAX_REPORT_AGE_SECONDS
         return {
             name: probe.latest.report
             for name, probe in self.probes.items()
             if probe.latest is not None
             and probe.latest.report is not None
-            and probe.latest.sent_at >= horizon
+            and probe.latest.sent_at >= oldest_allowed
         }
 
-    def probe_soon(self, name: str) -> None:
+    def probe_immediately(self, name: str) -> None:
         """Probe a server at once."""
         probe = self.probes.get(name)
         if probe is not None:
-            probe.arm(0.0)
+            probe.schedule(0.0)
 
-    async def answers_now(self, timeout_seconds: float) -> bool:
+    async def recheck_primary(self, timeout_seconds: float) -> bool:
         """Look at the primary once more; return whether it serves.
 
         Args:
@@ -188,7 +194,7 @@
         if isinstance(report, Unreachable):
             return False
         now = self.timer.now()
-        if not self.serves(report, now):
+        if not self.is_serving(report, now):
             return False
         self.detector.answered(sent_at, now)
         return True
@@ -202,5 +208,8 @@
         probe = self.probes.get(self.primary)
         if probe is None:
             return
-        if self.detector.silent_seconds(self.timer.now()) > FRESH_SECONDS:
+        if (
+            self.detector.silent_seconds(self.timer.now())
+            > MAX_ANSWER_AGE_SECONDS
+        ):
             await probe.probe()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/primary_watch.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/primary_watch.py
@@ -23,9 +23,9 @@
 from jackdawcrank_policy.values import GroupPhase, GroupRow
 from jackdawcrank_wire.events import EventKind
 
-EARLY_MISSES = 1
-LAST_LOOK_SECONDS = 0.15
-EVIDENCE_SECONDS = 0.8
+CONSULT_AFTER_MISSES = 1
+FINAL_PROBE_TIMEOUT_SECONDS = 0.15
+MAX_EVIDENCE_AGE_SECONDS = 0.8
 RECHECK_SECONDS = 0.02
 RETRY_SECONDS = 0.25
 MAX_RETRY_SECONDS = 2.0
@@ -45,7 +45,7 @@
       driver: The group's promotions.
       backoff: Spaces unplanned promotions.
       suspicious: Whether a suspicion was raised and not cleared.
-      considering: Whether a round of questions is under way.
+      evaluating: Whether a round of questions is under way.
       prepared_at: When the store last read ahead, in seconds.
     """
 
@@ -60,10 +60,10 @@
         self.driver = driver
         self.backoff = PromotionBackoff()
         self.suspicious = False
-        self.considering = False
+        self.evaluating = False
         self.prepared_at = -math.inf
 
-    def take_row(self, earlier: GroupRow | None, row: GroupRow) -> None:
+    def update_row(self, earlier: GroupRow | None, row: GroupRow) -> None:
         """Count the promotions of which this VM learns.
 
         Args:
@@ -85,43 +85,45 @@
         if self.suspicious and detector.misses == 0:
             self.suspicious = False
             self.context.blocked = ""
-            self.context.tell(EventKind.SUSPICION_CLEARED, primary=row.primary)
-        if detector.misses < EARLY_MISSES:
+            self.context.record_event(
+                EventKind.SUSPICION_CLEARED, primary=row.primary
+            )
+        if detector.misses < CONSULT_AFTER_MISSES:
             return
-        if self.considering or self.driver.busy or self.context.closed:
+        if self.evaluating or self.driver.busy or self.context.closed:
             return
-        self.considering = True
-        self.context.tasks.spawn(self.consider(row))
+        self.evaluating = True
+        self.context.tasks.spawn(self.evaluate_primary(row))
 
-    async def consider(self, row: GroupRow) -> None:
+    async def evaluate_primary(self, row: GroupRow) -> None:
         """Judge a silent primary until it answers or is replaced."""
         pause = RETRY_SECONDS
         try:
-            while await self.consider_once(row):
+            while await self.evaluate_once(row):
                 await self.context.pause(pause)
                 pause = min(2 * pause, MAX_RETRY_SECONDS)
         finally:
-            self.considering = False
+            self.evaluating = False
 
-    async def consider_once(self, row: GroupRow) -> bool:
+    async def evaluate_once(self, row: GroupRow) -> bool:
         """Judge a silent primary once; return whether to judge it again."""
         now = self.context.timer.now
         self.context.tasks.spawn(self.prepare_claim())
-        judgement = await self.ask()
+        judgement = await self.collect_judgement()
         judged_at = now()
-        health = await self.own_suspicion(row)
+        health = await self.await_own_suspicion(row)
         if health is None or self.context.row != row or self.driver.busy:
             return False
-        if now() - judged_at > EVIDENCE_SECONDS:
-            judgement = await self.ask()
+        if now() - judged_at > MAX_EVIDENCE_AGE_SECONDS:
+            judgement = await self.collect_judgement()
             if self.context.row != row or self.driver.busy:
                 return False
         self.raise_suspicion(row, health, judgement)
-        obstacle = self.obstacle(row, judgement)
-        if obstacle:
-            self.context.block(obstacle)
+        blocking_reason = self.blocking_reason(row, judgement)
+        if blocking_reason:
+            self.context.block(blocking_reason)
             return True
-        answers = await self.probes.answers_now(LAST_LOOK_SECONDS)
+        answers = await self.probes.recheck_primary(FINAL_PROBE_TIMEOUT_SECONDS)
         if answers or self.context.row != row or self.driver.busy:
             return False
         end = await self.driver.promote(PromotionCause.FAILURE)
@@ -139,7 +141,7 @@
             self.prepared_at = now
             await self.context.store.prepare(self.context.spec.name)
 
-    async def ask(self) -> Judgement:
+    async def collect_judgement(self) -> Judgement:
         """Return the judgement of the homes that can be reached."""
         health = self.probes.detector.corroborating_health(
             self.context.timer.now()
@@ -148,7 +150,7 @@
             self.evidence(health), self.context.homes, self.context.peers
         )
 
-    async def own_suspicion(self, row: GroupRow) -> PrimaryHealth | None:
+    async def await_own_suspicion(self, row: GroupRow) -> PrimaryHealth | None:
         """Wait for this VM's own suspicion and its turn among the homes.
 
         Returns:
@@ -174,14 +176,14 @@
         if self.suspicious:
             return
         self.suspicious = True
-        self.context.tell(
+        self.context.record_event(
             EventKind.SUSPICION_RAISED,
             primary=row.primary,
             health=health,
             judgement=judgement,
         )
 
-    def obstacle(self, row: GroupRow, judgement: Judgement) -> str:
+    def blocking_reason(self, row: GroupRow, judgement: Judgement) -> str:
         """Return what keeps a suspected primary in office, or nothing."""
         now = self.context.timer.now()
         if self.context.takeover_rank is None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/promotion_driver.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/promotion_driver.py
@@ -62,7 +62,7 @@
         assert self.runner is None
         context = self.context
         plan = self.plan(cause, target)
-        context.tell(EventKind.PROMOTION_STARTED, cause=cause)
+        context.record_event(EventKind.PROMOTION_STARTED, cause=cause)
         self.runner = PromotionRunner(
             Promotion(plan),
             context.servers,
@@ -72,14 +72,14 @@
             context.timer,
             context.tasks,
             self.store_row,
-            self.tell_step,
+            self.record_step,
             context.quiesce,
         )
         try:
             end = await self.runner.run()
         finally:
             self.runner = None
-        self.tell_end(end)
+        self.record_end(end)
         return end
 
     def plan(self, cause: PromotionCause, target: str | None) -> PromotionPlan:
@@ -104,36 +104,38 @@
             removed_writers_expire_at=history.removed_writers_expire_at,
         )
 
-    def tell_step(self, step: Action | Event) -> None:
+    def record_step(self, step: Action | Event) -> None:
         """Record a step of the promotion."""
-        tell = self.context.tell
+        record_event = self.context.record_event
         match step:
             case ClaimTerm():
-                tell(EventKind.PROMOTION_PREPARING, claim=step.row.term)
+                record_event(EventKind.PROMOTION_PREPARING, claim=step.row.term)
             case Fenced(report):
-                tell(
+                record_event(
                     EventKind.PROMOTION_SERVER_FENCED,
                     server=report.server,
                     position=report.position,
                 )
             case TimerFired(Timer.LEASES):
-                tell(EventKind.PROMOTION_LEASES_ENDED)
+                record_event(EventKind.PROMOTION_LEASES_ENDED)
             case OpenTerm():
-                tell(
+                record_event(
                     EventKind.PROMOTION_PRIMARY_CHOSEN,
                     primary=step.row.primary,
                     offset=step.row.branch.starts[-1].offset,
                 )
 
-    def tell_end(self, end: Finished | Abandoned) -> None:
+    def record_end(self, end: Finished | Abandoned) -> None:
         """Record the end of the promotion."""
         if isinstance(end, Finished):
-            self.context.tell(
+            self.context.record_event(
                 EventKind.PROMOTION_FINISHED,
                 primary=end.row.primary,
                 announced=end.announced,
             )
         elif end.reason is AbandonReason.SUPERSEDED:
-            self.context.tell(EventKind.PROMOTION_ABANDONED, reason=end.reason)
+            self.context.record_event(
+                EventKind.PROMOTION_ABANDONED, reason=end.reason
+            )
         else:
             self.context.block(end.reason)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/promotion_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/promotion_runner.py
@@ -54,9 +54,9 @@
 from jackdawcrank_policy.values import GroupRow, ServerReport
 
 SERVER_TIMEOUT_SECONDS = 0.5
-FENCE_HEAD_START_SECONDS = 0.005
+PROBE_AFTER_FENCE_SECONDS = 0.005
 GIVE_UP_TIMEOUT_SECONDS = 0.5
-GIVE_UP_TRIES = 6
+GIVE_UP_ATTEMPTS = 6
 
 RowCallback = Callable[[GroupRow, int], None]
 
@@ -117,9 +117,9 @@
         if not self.over:
             self.events.put_nowait(event)
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Carry out one action beside the others."""
-        self.tasks.spawn(work)
+        self.tasks.spawn(coroutine)
 
     @functools.singledispatchmethod
     def execute(self, action: Action) -> None:
@@ -196,7 +196,7 @@
         """
         server = self.servers[action.server]
         report, answer = await asyncio.gather(
-            self.probe_behind_fence(server),
+            self.probe_after_fence(server),
             server.fence(action.term, SERVER_TIMEOUT_SECONDS),
         )
         if isinstance(answer, Refused):
@@ -212,11 +212,11 @@
         else:
             self.post(Fenced(report))
 
-    async def probe_behind_fence(
+    async def probe_after_fence(
         self, server: ServerControl
     ) -> ServerReport | ServerUnreachable:
         """Probe a server just after a fence was sent."""
-        await asyncio.sleep(FENCE_HEAD_START_SECONDS)
+        await asyncio.sleep(PROBE_AFTER_FENCE_SECONDS)
         return await server.probe(SERVER_TIMEOUT_SECONDS)
 
     async def probe(self, action: ProbeServer) -> None:
@@ -237,7 +237,7 @@
                 await self.quiesce()
             self.post(LeaseGivenUp(action.vm))
             return
-        for _ in range(GIVE_UP_TRIES):
+        for _ in range(GIVE_UP_ATTEMPTS):
             if self.over:
                 return
             if await self.peers.give_up_lease(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/quick_group_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/quick_group_rows.py
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class Base:
+class ClaimBase:
     """What a claim is written on top of.
 
     Attributes:
@@ -44,12 +44,12 @@
 
     Attributes:
       rows: The group rows.
-      bases: For each group, what the own last change left behind.
+      claim_bases: For each group, what the own last change left behind.
     """
 
     def __init__(self, rows: GroupRows) -> None:
         self.rows = rows
-        self.bases: dict[str, Base] = {}
+        self.claim_bases: dict[str, ClaimBase] = {}
 
     async def read(self, group: str) -> GroupRow | None | StoreUnavailable:
         """Return a group's row as it stands in the store."""
@@ -57,28 +57,28 @@
 
     async def prepare(self, group: str) -> None:
         """Read what a claim of the group's row would be written on."""
-        base = await self.look(group)
+        base = await self.read_base(group)
         if base is not None:
-            self.bases[group] = base
+            self.claim_bases[group] = base
 
     async def claim(
         self, expected: GroupRow | None, new: GroupRow
     ) -> Stored | Conflict | StoreUnavailable:
         """Compare-and-set a group's row together with the log's head."""
-        base = self.bases.pop(new.group, None)
+        base = self.claim_bases.pop(new.group, None)
         if base is None or row_in(base.present) != expected:
-            base = await self.look(new.group)
+            base = await self.read_base(new.group)
         if base is None or row_in(base.present) != expected:
             return await self.rows.claim(expected, new)
         version = base.head.version + 1
-        if await self.attempt(base, new):
+        if await self.write_on_base(base, new):
             return Stored(version)
         outcome = await self.rows.claim(expected, new)
         if isinstance(outcome, Stored) and outcome.version == 0:
             return Stored(version)
         return outcome
 
-    async def look(self, group: str) -> Base | None:
+    async def read_base(self, group: str) -> ClaimBase | None:
         """Return the head and the group's row; None without an answer."""
         store = self.rows.store
         head, row = await asyncio.gather(
@@ -86,9 +86,9 @@
         )
         if isinstance(head, NoAnswer) or isinstance(row, NoAnswer):
             return None
-        return Base(head, row if isinstance(row, Row) else None)
+        return ClaimBase(head, row if isinstance(row, Row) else None)
 
-    async def attempt(self, base: Base, new: GroupRow) -> bool:
+    async def write_on_base(self, base: ClaimBase, new: GroupRow) -> bool:
         """Write a row on top of a base; return whether it is known to stand."""
         log = self.rows.change_log
         token = log.new_token()
@@ -102,7 +102,7 @@
         head_row = outcome.versions.get(f"{HEAD}/{HEAD}")
         own_row = outcome.versions.get(f"{GROUPS}/{new.group}")
         if head_row is not None and own_row is not None:
-            self.bases[new.group] = Base(
+            self.claim_bases[new.group] = ClaimBase(
                 attrs.evolve(
                     base.head, version=change.version, row_version=head_row
                 ),
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/server_alignment.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/server_alignment.py
@@ -21,15 +21,15 @@
       context: The group.
       divergent: For each server that returned with entries that the open
         term dropped, how many they were.
-      tried_at: When each server was last told, in seconds.
-      seen_at: Since when each server's reports do not fit.
+      attempted_at: When each server was last told, in seconds.
+      mismatch_since: Since when each server's reports do not fit.
     """
 
     def __init__(self, context: GroupContext) -> None:
         self.context = context
         self.divergent: dict[str, int] = {}
-        self.tried_at: dict[str, float] = {}
-        self.seen_at: dict[str, float] = {}
+        self.attempted_at: dict[str, float] = {}
+        self.mismatch_since: dict[str, float] = {}
 
     def check(self, report: ServerReport) -> None:
         """Tell a server of the open term if its report does not fit.
@@ -40,19 +40,22 @@
         row = self.context.row
         announcement = required_announcement(row, report) if row else None
         if announcement is None:
-            self.seen_at.pop(report.server, None)
+            self.mismatch_since.pop(report.server, None)
             return
         now = self.context.timer.now()
-        seen_at = self.seen_at.setdefault(report.server, now)
-        if now < seen_at + self.patience():
+        mismatch_since = self.mismatch_since.setdefault(report.server, now)
+        if now < mismatch_since + self.takeover_wait_seconds():
             return
-        tried_at = self.tried_at.get(report.server)
-        if tried_at is not None and now - tried_at < ALIGN_INTERVAL_SECONDS:
+        attempted_at = self.attempted_at.get(report.server)
+        if (
+            attempted_at is not None
+            and now - attempted_at < ALIGN_INTERVAL_SECONDS
+        ):
             return
-        self.tried_at[report.server] = now
+        self.attempted_at[report.server] = now
         self.context.tasks.spawn(self.align(announcement, report))
 
-    def patience(self) -> float:
+    def takeover_wait_seconds(self) -> float:
         """Return the seconds that this VM leaves to those before it."""
         if self.context.is_acting:
             return 0.0
@@ -74,7 +77,7 @@
             if isinstance(answer, Refused):
                 return
         if announcement.divergent_entries:
-            self.tell_divergence(announcement, report)
+            self.record_divergence(announcement, report)
         await server.announce_primary(
             announcement.term,
             announcement.offset,
@@ -82,7 +85,7 @@
             ALIGN_TIMEOUT_SECONDS,
         )
 
-    def tell_divergence(
+    def record_divergence(
         self, announcement: Announcement, report: ServerReport
     ) -> None:
         """Report the entries that a returning server is about to drop."""
@@ -90,7 +93,7 @@
         if self.divergent.get(report.server) == entries:
             return
         self.divergent[report.server] = entries
-        self.context.tell(
+        self.context.record_event(
             EventKind.DIVERGENT_TAIL,
             server=report.server,
             entries=entries,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/server_probe.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/server_probe.py
@@ -46,7 +46,7 @@
 
     def start(self) -> None:
         """Begin to probe."""
-        self.arm(0.0)
+        self.schedule(0.0)
 
     def stop(self) -> None:
         """Plan no further probe and report no result."""
@@ -61,7 +61,7 @@
             self.running.cancel()
             await asyncio.gather(self.running, return_exceptions=True)
 
-    def hasten(self, interval_seconds: float) -> None:
+    def set_interval(self, interval_seconds: float) -> None:
         """Change the interval; the next probe is at most that far away.
 
         Args:
@@ -72,15 +72,15 @@
         shorter = interval_seconds < self.interval_seconds
         self.interval_seconds = interval_seconds
         if shorter and self.running is None and not self.closed:
-            self.arm(MIN_PAUSE_SECONDS)
+            self.schedule(MIN_PAUSE_SECONDS)
 
     async def probe(self) -> ProbeResult:
         """Probe now, or wait for the probe that is under way."""
         if self.running is None:
-            self.running = asyncio.create_task(self.measure())
+            self.running = asyncio.create_task(self.probe_and_reschedule())
         return await asyncio.shield(self.running)
 
-    def arm(self, delay_seconds: float) -> None:
+    def schedule(self, delay_seconds: float) -> None:
         """Plan the next probe in place of the one planned before."""
         if self.next_call is not None:
             self.next_call.close()
@@ -91,7 +91,7 @@
         if not self.closed:
             await self.probe()
 
-    async def measure(self) -> ProbeResult:
+    async def probe_and_reschedule(self) -> ProbeResult:
         """Probe once and plan the next probe."""
         sent_at = self.timer.now()
         answer = await self.server.probe(self.timeout_seconds())
@@ -101,7 +101,7 @@
         self.latest = result
         if not self.closed:
             pause = self.interval_seconds - (ended_at - sent_at)
-            self.arm(max(pause, MIN_PAUSE_SECONDS))
+            self.schedule(max(pause, MIN_PAUSE_SECONDS))
             self.on_result(result)
         return result
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/suspicion_round.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/suspicion_round.py
@@ -35,7 +35,7 @@
         for home in others
     ]
     try:
-        for left, answer in _countdown(asked):
+        for left, answer in _completed_with_remaining(asked):
             found = await answer
             if found is not None:
                 evidence.append(found)
@@ -47,7 +47,7 @@
     return judge(evidence, own.primary)
 
 
-def _countdown(
+def _completed_with_remaining(
     asked: list[asyncio.Task[PrimaryEvidence | None]],
 ) -> Iterable[tuple[int, asyncio.Future[PrimaryEvidence | None]]]:
     left = len(asked)
--- a/packages/jackdawcrank-proxy/tests/backend/test_mysql_control.py
+++ b/packages/jackdawcrank-proxy/tests/backend/test_mysql_control.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("role", ["", "primary 1", "witness"])
-async def test_an_unreadable_state_is_no_report(
+async def test_malformed_report_counts_as_unreachable(
     control: MysqlControl, server: BackendServer, role: str
 ) -> None:
     server.variables["group_role"] = lambda: role
--- a/packages/jackdawcrank-proxy/tests/backend/test_server_pool.py
+++ b/packages/jackdawcrank-proxy/tests/backend/test_server_pool.py
@@ -12,15 +12,15 @@
 from jackdawcrank_standins.backend import BackendServer
 
 WARM = 5
-PERIOD_SECONDS = 0.01
-CHECKS = 300
+POLL_INTERVAL_SECONDS = 0.01
+MAX_POLLS = 300
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    for _ in range(CHECKS):
+async def wait_until(condition: Callable[[], bool]) -> None:
+    for _ in range(MAX_POLLS):
         if condition():
             return
-        await asyncio.sleep(PERIOD_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     raise AssertionError("the condition never held")
 
 
@@ -30,12 +30,14 @@
     found: list[ServerLink] = []
     ping = ServerLink.ping
 
-    async def counted(self: ServerLink, timeout_seconds: float) -> bool:
+    async def recording_ping(self: ServerLink, timeout_seconds: float) -> bool:
         found.append(self)
         return await ping(self, timeout_seconds)
 
-    monkeypatch.setattr(ServerLink, "ping", counted)
-    monkeypatch.setattr(server_pool, "IDLE_CHECK_SECONDS", PERIOD_SECONDS)
+    monkeypatch.setattr(ServerLink, "ping", recording_ping)
+    monkeypatch.setattr(
+        server_pool, "IDLE_CHECK_SECONDS", POLL_INTERVAL_SECONDS
+    )
     monkeypatch.setattr(server_pool, "PING_TIMEOUT_SECONDS", 0.05)
     return found
 
@@ -53,26 +55,26 @@
         endpoint, WARM, WARM, lambda server, why: dropped.append(why)
     )
     pool.start()
-    await until(lambda: len(pool.idle) == WARM)
+    await wait_until(lambda: len(pool.idle) == WARM)
     yield pool
     await pool.close()
 
 
-def age(pool: ServerPool) -> None:
+def make_idle_connections_stale(pool: ServerPool) -> None:
     """Let every idle connection look as if silent for long, in order."""
     for number, link in enumerate(pool.idle):
         link.last_answer_at -= 100 - number
     pool.pinged_at -= 100
 
 
-async def test_one_idle_connection_is_pinged_for_all(
+async def test_only_longest_idle_connection_is_pinged(
     pool: ServerPool, pinged: list[ServerLink]
 ) -> None:
     oldest = pool.idle[0]
-    age(pool)
-    await until(lambda: bool(pinged))
+    make_idle_connections_stale(pool)
+    await wait_until(lambda: bool(pinged))
     for _ in range(5):
-        await asyncio.sleep(PERIOD_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     assert pinged == [oldest]
     assert len(pool.idle) == WARM
 
@@ -82,18 +84,18 @@
 ) -> None:
     pool.pinged_at -= 100
     for _ in range(5):
-        await asyncio.sleep(PERIOD_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     assert not pinged
 
 
-async def test_a_silent_ping_has_all_others_checked(
+async def test_unanswered_ping_checks_all_idle_connections(
     pool: ServerPool, server: BackendServer, dropped: list[str]
 ) -> None:
     silent = set(pool.idle)
     server.silence()
-    age(pool)
-    await until(lambda: len(dropped) == WARM)
-    await until(lambda: len(pool.idle) == WARM)
+    make_idle_connections_stale(pool)
+    await wait_until(lambda: len(dropped) == WARM)
+    await wait_until(lambda: len(pool.idle) == WARM)
     assert silent.isdisjoint(pool.idle)
     assert (pool.in_use, pool.opening) == (0, 0)
 
@@ -107,13 +109,13 @@
     closed = set(pool.idle)
     await server.stop()
     await server.restart()
-    await until(lambda: len(dropped) == WARM)
-    await until(lambda: len(pool.idle) == WARM)
+    await wait_until(lambda: len(dropped) == WARM)
+    await wait_until(lambda: len(pool.idle) == WARM)
     assert closed.isdisjoint(pool.idle)
     assert not pinged
 
 
-async def test_a_closed_connection_is_never_handed_out(
+async def test_closed_connection_is_not_reused(
     endpoint: Endpoint, server: BackendServer, dropped: list[str]
 ) -> None:
     pool = ServerPool(endpoint, 2, 0, lambda server, why: dropped.append(why))
@@ -122,7 +124,7 @@
     pool.release(first)
     await server.stop()
     await server.restart()
-    await until(lambda: first.ended)
+    await wait_until(lambda: first.ended)
     second = await pool.acquire(2.0)
     assert isinstance(second, ServerLink)
     assert second is not first
--- a/packages/jackdawcrank-proxy/tests/groups/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/groups/conftest.py
@@ -37,7 +37,7 @@
 SERVERS = ("s1", "s2", "s3")
 HOMES = ("vm1", "vm2", "vm3")
 LATENCY_SECONDS = 0.005
-HEAD_SECONDS = 1.0
+FOLLOW_INTERVAL_SECONDS = 1.0
 SPEC = GroupSpec(GROUP)
 
 
@@ -47,14 +47,14 @@
 
     vm: str
     model: ModelServer
-    world: "World"
+    cluster: "SimulatedCluster"
     name: str = ""
 
     async def ask(self, act: Callable[[], Any], timeout_seconds: float) -> Any:
         await asyncio.sleep(LATENCY_SECONDS)
-        if self.name in self.world.refusing:
+        if self.name in self.cluster.refusing:
             return Unreachable("connection refused")
-        if not self.world.reaches(self.vm, self.name):
+        if not self.cluster.reaches(self.vm, self.name):
             await asyncio.sleep(timeout_seconds)
             return Unreachable("no answer in time")
         answer = act()
@@ -125,16 +125,16 @@
 
 
 @attrs.define(eq=False)
-class World:
+class SimulatedCluster:
     """The homes' agents and what they share.
 
-    Homes do not reach servers over links that are `cut`, and no place reaches
-    one on another of the `sides`; the store is on side 0.
+    Homes do not reach servers over links in `broken_links`, and no place reaches
+    one on another of the `partition_of`; the store is in 0.
     """
 
     store: FakeStore = attrs.field(factory=FakeStore)
-    cut: set[tuple[str, str]] = attrs.field(factory=set)
-    sides: dict[str, int] = attrs.field(factory=dict)
+    broken_links: set[tuple[str, str]] = attrs.field(factory=set)
+    partition_of: dict[str, int] = attrs.field(factory=dict)
     refusing: set[str] = attrs.field(factory=set)
     stopped: set[str] = attrs.field(factory=set)
     events: list[tuple[str, str, dict[str, object]]] = attrs.field(factory=list)
@@ -152,13 +152,15 @@
             await self.timers[vm].start()
             await self.agents[vm].start()
             self.timers[vm].subscribe(
-                "head", HEAD_SECONDS, functools.partial(self.follow, vm)
+                "head",
+                FOLLOW_INTERVAL_SECONDS,
+                functools.partial(self.follow, vm),
             )
         await asyncio.sleep(3.0)
 
     async def follow(self, vm: str, now: float) -> None:
         """Read the row as the change log's follower does."""
-        if self.sides.get(vm):
+        if self.partition_of.get(vm):
             return
         if self.store.row is not None and not self.store.down:
             self.agents[vm].row_changed(self.store.row, self.store.version)
@@ -174,7 +176,7 @@
                 name: FakeServer(vm, model, self, name)
                 for name, model in self.servers.items()
             },
-            FakeStoreLink(self, vm),
+            HomeStoreClient(self, vm),
             FakePeers(self, vm),
             self.leases[vm],
             lambda kind, **detail: self.events.append((vm, kind, detail)),
@@ -193,7 +195,7 @@
             await self.stop(vm)
 
     def cut_off(self, server: str, *homes: str) -> None:
-        self.cut.update((home, server) for home in homes or HOMES)
+        self.broken_links.update((home, server) for home in homes or HOMES)
 
     async def claimed(self, term: int) -> None:
         """Wait until a term is claimed in the store."""
@@ -202,9 +204,11 @@
         await claimed.wait()
 
     def reaches(self, source: str, target: str) -> bool:
-        if target in self.refusing or (source, target) in self.cut:
+        if target in self.refusing or (source, target) in self.broken_links:
             return False
-        return self.sides.get(source, 0) == self.sides.get(target, 0)
+        return self.partition_of.get(source, 0) == self.partition_of.get(
+            target, 0
+        )
 
     def replicate(self, name: str) -> None:
         """Let a replica pull from the primary that it knows."""
@@ -239,7 +243,7 @@
         )
         return row.term if isinstance(verdict, Done) else None
 
-    def told(self, kind: str) -> list[dict[str, object]]:
+    def events_named(self, kind: str) -> list[dict[str, object]]:
         return [detail for _, one, detail in self.events if one == kind]
 
     @property
@@ -252,16 +256,16 @@
 class FakePeers:
     """The other homes' agents."""
 
-    world: World
+    cluster: SimulatedCluster
     vm: str
 
     async def find(self, vm: str, timeout_seconds: float) -> GroupAgent | None:
         await asyncio.sleep(LATENCY_SECONDS)
-        stopped = {vm, self.vm} & self.world.stopped
-        if stopped or not self.world.reaches(self.vm, vm):
+        stopped = {vm, self.vm} & self.cluster.stopped
+        if stopped or not self.cluster.reaches(self.vm, vm):
             await asyncio.sleep(timeout_seconds)
             return None
-        return self.world.agents[vm]
+        return self.cluster.agents[vm]
 
     async def give_up_lease(
         self, vm: str, group: str, term: int, timeout_seconds: float
@@ -285,44 +289,44 @@
 
 
 @attrs.define(eq=False)
-class FakeStoreLink:
+class HomeStoreClient:
     """The store as one home reaches it."""
 
-    world: World
+    cluster: SimulatedCluster
     vm: str
 
     async def claim(
         self, expected: GroupRow | None, new: GroupRow
     ) -> Stored | Conflict | StoreUnavailable:
-        if self.world.sides.get(self.vm):
+        if self.cluster.partition_of.get(self.vm):
             return StoreUnavailable("no answer in time")
-        return await self.world.store.claim(expected, new)
+        return await self.cluster.store.claim(expected, new)
 
     async def prepare(self, group: str) -> None:
-        self.world.store.prepared += 1
+        self.cluster.store.prepared += 1
 
     async def read(self, group: str) -> GroupRow | None | StoreUnavailable:
-        if self.world.sides.get(self.vm):
+        if self.cluster.partition_of.get(self.vm):
             return StoreUnavailable("no answer in time")
-        return await self.world.store.read(group)
+        return await self.cluster.store.read(group)
 
 
-Scenario = Callable[[World], Coroutine[Any, Any, None]]
+Scenario = Callable[[SimulatedCluster], Coroutine[Any, Any, None]]
 
 
 @pytest.fixture
-def play() -> Callable[..., World]:
-    """Return a function that runs a scenario on a started world."""
+def run_scenario() -> Callable[..., SimulatedCluster]:
+    """Return a function that runs a scenario on a started cluster."""
 
-    def run(scenario: Scenario, spec: GroupSpec = SPEC) -> World:
-        world = World()
+    def run(scenario: Scenario, spec: GroupSpec = SPEC) -> SimulatedCluster:
+        cluster = SimulatedCluster()
 
-        async def whole() -> None:
-            await world.start(spec)
-            await scenario(world)
-            await world.close()
+        async def run_to_end() -> None:
+            await cluster.start(spec)
+            await scenario(cluster)
+            await cluster.close()
 
-        run_virtual(whole())
-        return world
+        run_virtual(run_to_end())
+        return cluster
 
     return run
--- a/packages/jackdawcrank-proxy/tests/groups/test_group_probes.py
+++ b/packages/jackdawcrank-proxy/tests/groups/test_group_probes.py
@@ -24,7 +24,7 @@
 from jackdawcrank_standins.history import run_virtual
 
 SETTLE_SECONDS = 5.0
-WATCHED_SECONDS = 10.0
+MEASUREMENT_SECONDS = 10.0
 
 
 class Server:
@@ -32,11 +32,11 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.probed: list[float] = []
+        self.probe_times: list[float] = []
         self.up = True
 
     async def probe(self, timeout_seconds: float) -> ServerReport | Unreachable:
-        self.probed.append(asyncio.get_running_loop().time())
+        self.probe_times.append(asyncio.get_running_loop().time())
         if not self.up:
             await asyncio.sleep(timeout_seconds)
             return Unreachable("no answer in time")
@@ -44,7 +44,7 @@
         return ServerReport(self.name, 1, role, Position(1, 1), True)
 
 
-class Watch:
+class ProbeHarness:
     """The probes of three servers on virtual time."""
 
     def __init__(self, coordinating: bool) -> None:
@@ -59,17 +59,17 @@
     async def settle(self) -> None:
         await self.timer.start()
         row = GroupRow("ledger", 1, GroupPhase.ACTIVE, "s1", "vm1")
-        self.probes.take_row(row, self.coordinating)
+        self.probes.update_row(row, self.coordinating)
         self.probes.start()
         await asyncio.sleep(SETTLE_SECONDS)
 
     async def rates(self) -> list[float]:
         """Return the probes a second of each server over some time."""
         for server in self.servers.values():
-            server.probed.clear()
-        await asyncio.sleep(WATCHED_SECONDS)
+            server.probe_times.clear()
+        await asyncio.sleep(MEASUREMENT_SECONDS)
         return [
-            round(len(server.probed) / WATCHED_SECONDS, 1)
+            round(len(server.probe_times) / MEASUREMENT_SECONDS, 1)
             for server in self.servers.values()
         ]
 
@@ -91,41 +91,41 @@
 
 @on_virtual_time
 async def test_only_the_primary_is_probed_often() -> None:
-    watch = Watch(coordinating=True)
-    await watch.settle()
-    assert await watch.rates() == [
+    harness = ProbeHarness(coordinating=True)
+    await harness.settle()
+    assert await harness.rates() == [
         pytest.approx(1 / PROBE_INTERVAL_SECONDS, abs=0.2),
         pytest.approx(1.0, abs=0.15),
         pytest.approx(1.0, abs=0.15),
     ]
-    await watch.close()
+    await harness.close()
 
 
 @on_virtual_time
-async def test_a_doubted_primary_has_all_servers_probed_often() -> None:
-    watch = Watch(coordinating=True)
-    await watch.settle()
-    watch.servers["s1"].up = False
+async def test_silent_primary_speeds_up_all_probes() -> None:
+    harness = ProbeHarness(coordinating=True)
+    await harness.settle()
+    harness.servers["s1"].up = False
     await asyncio.sleep(PROBE_INTERVAL_SECONDS + 0.4 + 0.05)
-    assert watch.probes.detector.misses == 1
-    for server in watch.servers.values():
-        server.probed.clear()
+    assert harness.probes.detector.misses == 1
+    for server in harness.servers.values():
+        server.probe_times.clear()
     await asyncio.sleep(0.8)
-    now = watch.loop.time()
-    assert watch.probes.detector.health(now) is PrimaryHealth.SUSPECT
-    assert len(watch.servers["s2"].probed) >= 3
-    assert len(watch.servers["s3"].probed) >= 3
-    assert watch.probes.reports().keys() == {"s2", "s3"}
-    await watch.close()
+    now = harness.loop.time()
+    assert harness.probes.detector.health(now) is PrimaryHealth.SUSPECT
+    assert len(harness.servers["s2"].probe_times) >= 3
+    assert len(harness.servers["s3"].probe_times) >= 3
+    assert harness.probes.reports().keys() == {"s2", "s3"}
+    await harness.close()
 
 
 @on_virtual_time
-async def test_a_refresh_shows_the_present_state() -> None:
-    watch = Watch(coordinating=True)
-    await watch.settle()
+async def test_refresh_replaces_earlier_results() -> None:
+    harness = ProbeHarness(coordinating=True)
+    await harness.settle()
     await asyncio.sleep(0.3)
-    asked_at = watch.loop.time()
-    await watch.probes.refresh()
-    latest = [probe.latest for probe in watch.probes.probes.values()]
+    asked_at = harness.loop.time()
+    await harness.probes.refresh()
+    latest = [probe.latest for probe in harness.probes.probes.values()]
     assert all(one and one.sent_at >= asked_at for one in latest)
-    await watch.close()
+    await harness.close()
--- a/packages/jackdawcrank-proxy/tests/groups/test_quick_group_rows.py
+++ b/packages/jackdawcrank-proxy/tests/groups/test_quick_group_rows.py
@@ -29,7 +29,7 @@
     rows: dict[tuple[str, str], Row] = attrs.field(factory=dict)
     gets: int = 0
     transactions: int = 0
-    lose: set[int] = attrs.field(factory=set)
+    lost_transactions: set[int] = attrs.field(factory=set)
 
     async def get(self, table: str, key: str) -> Row | Absent:
         self.gets += 1
@@ -51,7 +51,7 @@
             version = row.version + 1 if row else 1
             self.rows[put.table, put.key] = Row(put.key, put.value, version)
             versions[f"{put.table}/{put.key}"] = version
-        if self.transactions in self.lose:
+        if self.transactions in self.lost_transactions:
             return StoreUnavailable(maybe_applied=True)
         return Committed(versions)
 
@@ -67,7 +67,7 @@
     return QuickGroupRows(GroupRows(tables, log, "vm1"))  # type: ignore[arg-type]
 
 
-async def test_an_opening_takes_one_call(
+async def test_opening_after_claim_takes_one_call(
     tables: FakeTables, rows: QuickGroupRows
 ) -> None:
     assert await rows.claim(None, CLAIMED) == Stored(1)
@@ -86,7 +86,7 @@
     assert (tables.gets, tables.transactions) == (gets, 1)
 
 
-async def test_another_change_between_is_found(
+async def test_change_of_another_group_in_between_is_retried(
     tables: FakeTables, rows: QuickGroupRows
 ) -> None:
     await rows.claim(None, CLAIMED)
@@ -97,7 +97,7 @@
     assert await rows.claim(CLAIMED, OPENED) == Stored(3)
 
 
-async def test_a_row_that_another_vm_took_conflicts(
+async def test_row_claimed_by_another_vm_conflicts(
     tables: FakeTables, rows: QuickGroupRows
 ) -> None:
     await rows.claim(None, CLAIMED)
@@ -107,10 +107,10 @@
     assert await rows.claim(CLAIMED, OPENED) == Conflict(taken)
 
 
-async def test_lost_answers_are_settled_with_their_version(
+async def test_lost_answers_resolve_to_stored_version(
     tables: FakeTables, rows: QuickGroupRows
 ) -> None:
-    tables.lose = {1, 2}
+    tables.lost_transactions = {1, 2}
     assert await rows.claim(None, CLAIMED) == Stored(1)
     assert await rows.claim(CLAIMED, OPENED) == Stored(2)
     assert await rows.read("ledger") == OPENED
