--- a/packages/jackdawcrank-proxy/src/jackdawcrank/backend/mysql_control.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/backend/mysql_control.py
@@ -9,12 +9,12 @@
     RowsAnswer,
 )
 from jackdawcrank.backend.endpoint import Endpoint
+from jackdawcrank.backend.server_connection import ConnectFailed, ServerLink
 from jackdawcrank.backend.server_control import (
     Accepted,
     Refused,
     Unreachable,
 )
-from jackdawcrank.backend.server_link import ConnectFailed, ServerLink
 from jackdawcrank_policy.values import Position, ServerReport, ServerRole
 
 PROBE_SQL = (
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_pool.py
@@ -9,7 +9,7 @@
 import attrs
 
 from jackdawcrank.backend.endpoint import Endpoint
-from jackdawcrank.backend.server_link import ConnectFailed, ServerLink
+from jackdawcrank.backend.server_connection import ConnectFailed, ServerLink
 
 CONNECT_TIMEOUT_SECONDS = 2.0
 RESET_TIMEOUT_SECONDS = 1.0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
@@ -7,7 +7,7 @@
 
 from jackdawcrank.backend.endpoint import Endpoint
 from jackdawcrank.backend.mysql_control import MysqlControl
-from jackdawcrank.backend.server_link import ServerLink
+from jackdawcrank.backend.server_connection import ServerLink
 from jackdawcrank.backend.server_pool import ServerPool
 from jackdawcrank.execution.open_primary import OpenPrimary
 from jackdawcrank.execution.signal import Signal
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/open_transaction.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from jackdawcrank.backend.server_link import ServerLink
+from jackdawcrank.backend.server_connection import ServerLink
 from jackdawcrank.execution.open_primary import OpenPrimary
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
@@ -3,7 +3,7 @@
 import time
 
 from jackdawcrank.backend.answer import OkAnswer, RowsAnswer
-from jackdawcrank.backend.server_link import ServerLink
+from jackdawcrank.backend.server_connection import ServerLink
 from jackdawcrank.execution.group_state import GroupState
 from jackdawcrank.execution.statement_runner import (
     NotStarted,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
@@ -12,7 +12,7 @@
     OkAnswer,
     RowsAnswer,
 )
-from jackdawcrank.backend.server_link import ServerLink
+from jackdawcrank.backend.server_connection import ServerLink
 from jackdawcrank.execution.acknowledger import Acknowledger, ReadVerdict
 from jackdawcrank.execution.group_state import GroupState, no_primary
 from jackdawcrank.execution.statement_runner import (
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/statement_runner.py
@@ -8,7 +8,7 @@
     LostAnswer,
     OkAnswer,
 )
-from jackdawcrank.backend.server_link import ServerLink
+from jackdawcrank.backend.server_connection import ServerLink
 from jackdawcrank.execution.group_state import GroupState
 from jackdawcrank.execution.open_primary import OpenPrimary
 from jackdawcrank_policy.routing import ServerLoad
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
@@ -10,7 +10,7 @@
 
 from jackdawcrank.config import ChangeLogCompactor, ConfigurationFollower
 from jackdawcrank.front.front_server import FrontServer
-from jackdawcrank.groups.quick_group_rows import QuickGroupRows
+from jackdawcrank.groups.prefetched_group_rows import QuickGroupRows
 from jackdawcrank.membership import MembershipTracker
 from jackdawcrank.metrics import Metrics
 from jackdawcrank.metrics import names as metric_names
--- a/packages/jackdawcrank-proxy/tests/backend/test_server_pool.py
+++ b/packages/jackdawcrank-proxy/tests/backend/test_server_pool.py
@@ -7,7 +7,7 @@
 
 from jackdawcrank.backend import server_pool
 from jackdawcrank.backend.endpoint import Endpoint
-from jackdawcrank.backend.server_link import ServerLink
+from jackdawcrank.backend.server_connection import ServerLink
 from jackdawcrank.backend.server_pool import ServerPool
 from jackdawcrank_standins.backend import BackendServer
 
--- a/packages/jackdawcrank-proxy/tests/execution/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/execution/conftest.py
@@ -20,7 +20,7 @@
     RowsAnswer,
 )
 from jackdawcrank.backend.endpoint import Endpoint
-from jackdawcrank.backend.server_link import ServerLink
+from jackdawcrank.backend.server_connection import ServerLink
 from jackdawcrank.execution.home_group import HomeGroup
 from jackdawcrank_policy.lease import LeaseTable
 from jackdawcrank_policy.values import (
--- a/packages/jackdawcrank-proxy/tests/groups/test_quick_group_rows.py
+++ b/packages/jackdawcrank-proxy/tests/groups/test_prefetched_group_rows.py
@@ -4,7 +4,7 @@
 import pytest
 
 from jackdawcrank.groups.group_store import Conflict, Stored
-from jackdawcrank.groups.quick_group_rows import QuickGroupRows
+from jackdawcrank.groups.prefetched_group_rows import QuickGroupRows
 from jackdawcrank.store.change_log import ChangeLog
 from jackdawcrank.store.group_rows import GroupRows
 from jackdawcrank.store.outcome import (
