--- a/packages/jackdawcrank-proxy/src/jackdawcrank/backend/answer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/backend/answer.py
@@ -66,4 +66,4 @@
     detail: str
 
 
-LinkAnswer = RowsAnswer | OkAnswer | ErrorAnswer | LostAnswer
+ServerAnswer = RowsAnswer | OkAnswer | ErrorAnswer | LostAnswer
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/backend/mysql_control.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/backend/mysql_control.py
@@ -4,12 +4,15 @@
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
-    LinkAnswer,
     OkAnswer,
     RowsAnswer,
+    ServerAnswer,
 )
 from jackdawcrank.backend.endpoint import Endpoint
-from jackdawcrank.backend.server_connection import ConnectFailed, ServerLink
+from jackdawcrank.backend.server_connection import (
+    ConnectFailed,
+    ServerConnection,
+)
 from jackdawcrank.backend.server_control import (
     Accepted,
     Refused,
@@ -35,19 +38,23 @@
     def __init__(self, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
         self.name = endpoint.server
-        self.probe_link: ServerLink | None = None
-        self.order_link: ServerLink | None = None
-        self.confirm_links: list[ServerLink] = []
+        self.probe_connection: ServerConnection | None = None
+        self.command_connection: ServerConnection | None = None
+        self.idle_confirm_connections: list[ServerConnection] = []
         self.probe_lock = asyncio.Lock()
         self.command_lock = asyncio.Lock()
 
     async def close(self) -> None:
         """Close the connections."""
-        links = [self.probe_link, self.order_link, *self.confirm_links]
-        for link in links:
-            if link is not None:
-                link.close()
-        self.confirm_links.clear()
+        connections = [
+            self.probe_connection,
+            self.command_connection,
+            *self.idle_confirm_connections,
+        ]
+        for connection in connections:
+            if connection is not None:
+                connection.close()
+        self.idle_confirm_connections.clear()
 
     async def probe(self, timeout_seconds: float) -> ServerReport | Unreachable:
         """Ask for term, role and position.
@@ -56,13 +63,13 @@
           timeout_seconds: The longest that this may take.
         """
         async with self.probe_lock:
-            link = await self._usable_connection(
-                self.probe_link, timeout_seconds
+            connection = await self._usable_connection(
+                self.probe_connection, timeout_seconds
             )
-            if isinstance(link, Unreachable):
-                return link
-            self.probe_link = link
-            answer = await link.run(PROBE_SQL, timeout_seconds)
+            if isinstance(connection, Unreachable):
+                return connection
+            self.probe_connection = connection
+            answer = await connection.run(PROBE_SQL, timeout_seconds)
         return self._read_report(answer)
 
     async def fence(
@@ -100,15 +107,21 @@
           position: The position to wait for.
           timeout_seconds: The longest that this may take.
         """
-        spare = self.confirm_links.pop() if self.confirm_links else None
-        link = await self._usable_connection(spare, timeout_seconds)
-        if isinstance(link, Unreachable):
+        idle_connection = (
+            self.idle_confirm_connections.pop()
+            if self.idle_confirm_connections
+            else None
+        )
+        connection = await self._usable_connection(
+            idle_connection, timeout_seconds
+        )
+        if isinstance(connection, Unreachable):
             return None
         sql = f"SELECT WAIT_FOR_LOG_POSITION('{position}', {timeout_seconds})"
         limit = timeout_seconds + CONFIRM_MARGIN_SECONDS
-        answer = await link.run(sql, limit)
-        if link.usable:
-            self.confirm_links.append(link)
+        answer = await connection.run(sql, limit)
+        if connection.usable:
+            self.idle_confirm_connections.append(connection)
         if not isinstance(answer, RowsAnswer) or not answer.rows:
             return None
         term = answer.rows[0][0]
@@ -118,13 +131,13 @@
         self, sql: str, timeout_seconds: float
     ) -> Accepted | Refused | Unreachable:
         async with self.command_lock:
-            link = await self._usable_connection(
-                self.order_link, timeout_seconds
+            connection = await self._usable_connection(
+                self.command_connection, timeout_seconds
             )
-            if isinstance(link, Unreachable):
-                return link
-            self.order_link = link
-            answer = await link.run(sql, timeout_seconds)
+            if isinstance(connection, Unreachable):
+                return connection
+            self.command_connection = connection
+            answer = await connection.run(sql, timeout_seconds)
         if isinstance(answer, OkAnswer):
             return Accepted()
         if isinstance(answer, ErrorAnswer):
@@ -132,16 +145,16 @@
         return Unreachable(str(answer))
 
     async def _usable_connection(
-        self, link: ServerLink | None, timeout_seconds: float
-    ) -> ServerLink | Unreachable:
-        if link is not None and link.usable:
-            return link
-        opened = await ServerLink.open(self.endpoint, timeout_seconds)
+        self, connection: ServerConnection | None, timeout_seconds: float
+    ) -> ServerConnection | Unreachable:
+        if connection is not None and connection.usable:
+            return connection
+        opened = await ServerConnection.open(self.endpoint, timeout_seconds)
         if isinstance(opened, ConnectFailed):
             return Unreachable(opened.detail)
         return opened
 
-    def _read_report(self, answer: LinkAnswer) -> ServerReport | Unreachable:
+    def _read_report(self, answer: ServerAnswer) -> ServerReport | Unreachable:
         if not isinstance(answer, RowsAnswer) or not answer.rows:
             return Unreachable(str(answer))
         try:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_connection.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_connection.py
@@ -12,10 +12,10 @@
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
-    LinkAnswer,
     LostAnswer,
     OkAnswer,
     RowsAnswer,
+    ServerAnswer,
 )
 from jackdawcrank.backend.endpoint import Endpoint
 from jackdawcrank_policy.values import Position
@@ -48,7 +48,7 @@
     detail: str
 
 
-class ServerLink:
+class ServerConnection:
     """One logged-in connection, used by one statement at a time.
 
     Attributes:
@@ -59,9 +59,9 @@
       statement_sent_at: When the statement under way was sent; None while idle.
     """
 
-    def __init__(self, server: str, connection: Any) -> None:
+    def __init__(self, server: str, driver_connection: Any) -> None:
         self.server = server
-        self.connection = connection
+        self.driver_connection = driver_connection
         self.usable = True
         self.dirty = False
         self.statement_sent_at: float | None = None
@@ -70,7 +70,7 @@
     @classmethod
     async def open(
         cls, endpoint: Endpoint, timeout_seconds: float
-    ) -> "ServerLink | ConnectFailed":
+    ) -> "ServerConnection | ConnectFailed":
         """Open a connection and log in.
 
         Args:
@@ -79,7 +79,7 @@
         """
         try:
             async with asyncio.timeout(timeout_seconds):
-                connection = await asyncmy.connect(
+                driver_connection = await asyncmy.connect(
                     host=endpoint.host,
                     port=endpoint.port,
                     user=endpoint.user,
@@ -94,16 +94,18 @@
             return ConnectFailed(False, "no answer to the login in time")
         except (asyncmy_errors.MySQLError, OSError, EOFError) as error:
             return ConnectFailed(_error_code(error) == 1040, str(error))
-        set_tcp_limits(connection)
-        return cls(endpoint.server, connection)
+        set_tcp_limits(driver_connection)
+        return cls(endpoint.server, driver_connection)
 
     @property
     def ended(self) -> bool:
         """Return whether the connection is closed, by whichever end."""
-        transport = self.connection._transport
+        transport = self.driver_connection._transport
         return not self.usable or transport is None or transport.is_closing()
 
-    async def run(self, sql: str | bytes, timeout_seconds: float) -> LinkAnswer:
+    async def run(
+        self, sql: str | bytes, timeout_seconds: float
+    ) -> ServerAnswer:
         """Run one statement and read its whole answer.
 
         A connection that gives no complete answer in time is closed for good.
@@ -120,7 +122,7 @@
         deadline_timer = loop.call_later(timeout_seconds, self.close)
         self.statement_sent_at = time.monotonic()
         try:
-            await self.connection.query(sql)
+            await self.driver_connection.query(sql)
         except asyncmy_errors.MySQLError as error:
             return self._server_error(error)
         except asyncio.CancelledError:
@@ -132,7 +134,7 @@
             deadline_timer.cancel()
             self.statement_sent_at = None
         self.last_answer_at = time.monotonic()
-        return _read_result(self.connection._result)
+        return _read_result(self.driver_connection._result)
 
     async def reset(self, timeout_seconds: float) -> bool:
         """Clear session state and roll back; return whether it worked.
@@ -144,8 +146,10 @@
             return False
         try:
             async with asyncio.timeout(timeout_seconds):
-                await self.connection._execute_command(COM_RESET_CONNECTION, "")
-                await self.connection._read_ok_packet()
+                await self.driver_connection._execute_command(
+                    COM_RESET_CONNECTION, ""
+                )
+                await self.driver_connection._read_ok_packet()
         except (TimeoutError, asyncmy_errors.MySQLError, OSError, EOFError):
             self.close()
             return False
@@ -166,7 +170,7 @@
             return False
         try:
             async with asyncio.timeout(timeout_seconds):
-                await self.connection.ping(reconnect=False)
+                await self.driver_connection.ping(reconnect=False)
         except (TimeoutError, asyncmy_errors.MySQLError, OSError, EOFError):
             self.close()
             return False
@@ -179,13 +183,13 @@
     def close(self) -> None:
         """Close the connection at once."""
         self.usable = False
-        self.connection.close()
+        self.driver_connection.close()
 
     def _lost(self, detail: str) -> LostAnswer:
         self.close()
         return LostAnswer(True, detail)
 
-    def _server_error(self, error: Exception) -> LinkAnswer:
+    def _server_error(self, error: Exception) -> ServerAnswer:
         code = _error_code(error)
         if code == 0 or FIRST_CLIENT_ERROR <= code <= LAST_CLIENT_ERROR:
             return self._lost(str(error))
@@ -194,13 +198,13 @@
         return ErrorAnswer(code, sqlstate, str(error.args[-1]))
 
 
-def set_tcp_limits(connection: Any) -> None:
+def set_tcp_limits(driver_connection: Any) -> None:
     """Have the kernel end a connection whose packets are lost for good.
 
     Args:
-      connection: The driver's connection.
+      driver_connection: The driver's connection.
     """
-    raw = connection._transport.get_extra_info("socket")
+    raw = driver_connection._transport.get_extra_info("socket")
     if raw is None:
         return
     for option, value in TCP_LIMITS.items():
@@ -213,7 +217,7 @@
     return code if isinstance(code, int) else 0
 
 
-def _read_result(result: Any) -> LinkAnswer:
+def _read_result(result: Any) -> ServerAnswer:
     if result.fields:
         columns = tuple(_read_column(field) for field in result.fields)
         return RowsAnswer(columns, tuple(result.rows or ()))
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_pool.py
@@ -9,7 +9,10 @@
 import attrs
 
 from jackdawcrank.backend.endpoint import Endpoint
-from jackdawcrank.backend.server_connection import ConnectFailed, ServerLink
+from jackdawcrank.backend.server_connection import (
+    ConnectFailed,
+    ServerConnection,
+)
 
 CONNECT_TIMEOUT_SECONDS = 2.0
 RESET_TIMEOUT_SECONDS = 1.0
@@ -65,8 +68,8 @@
         self.draining = False
         self.last_loss_at = 0.0
         self.pinged_at = 0.0
-        self.idle: list[ServerLink] = []
-        self.busy: set[ServerLink] = set()
+        self.idle: list[ServerConnection] = []
+        self.busy: set[ServerConnection] = set()
         self.waiters: collections.deque[asyncio.Future[None]] = (
             collections.deque()
         )
@@ -96,7 +99,7 @@
 
     async def acquire(
         self, timeout_seconds: float
-    ) -> ServerLink | ConnectFailed | PoolExhausted:
+    ) -> ServerConnection | ConnectFailed | PoolExhausted:
         """Return a connection that runs nothing.
 
         Args:
@@ -104,10 +107,10 @@
         """
         deadline = time.monotonic() + timeout_seconds
         while not self.draining:
-            link = await self._take_idle()
-            if link is not None:
-                self.busy.add(link)
-                return link
+            connection = await self._take_idle()
+            if connection is not None:
+                self.busy.add(connection)
+                return connection
             if self.open_count < self.limit:
                 remaining = deadline - time.monotonic()
                 return await self._open(remaining)
@@ -115,18 +118,18 @@
                 return PoolExhausted("every connection is in use")
         return PoolExhausted("the server is leaving")
 
-    def release(self, link: ServerLink) -> None:
+    def release(self, connection: ServerConnection) -> None:
         """Give a connection back.
 
         Args:
-          link: A connection from `acquire`; a dirty one is reset first.
+          connection: A connection from `acquire`; a dirty one is reset first.
         """
-        if link.usable and link.dirty and not self.draining:
-            task = asyncio.create_task(self._reset_and_release(link))
+        if connection.usable and connection.dirty and not self.draining:
+            task = asyncio.create_task(self._reset_and_release(connection))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
             return
-        self._finish_release(link)
+        self._finish_release(connection)
 
     def drain(self) -> None:
         """Refuse new acquisitions and close idle connections."""
@@ -134,42 +137,42 @@
         self._close_idle()
         self._wake_all()
 
-    async def _reset_and_release(self, link: ServerLink) -> None:
+    async def _reset_and_release(self, connection: ServerConnection) -> None:
         try:
-            await link.reset(RESET_TIMEOUT_SECONDS)
+            await connection.reset(RESET_TIMEOUT_SECONDS)
         finally:
-            self._finish_release(link)
+            self._finish_release(connection)
 
-    def _finish_release(self, link: ServerLink) -> None:
+    def _finish_release(self, connection: ServerConnection) -> None:
         self.in_use -= 1
-        self.busy.discard(link)
-        if not link.usable:
-            self._drop(link, "lost")
+        self.busy.discard(connection)
+        if not connection.usable:
+            self._drop(connection, "lost")
         elif self.draining or self.open_count >= self.limit:
-            link.close()
+            connection.close()
         else:
-            self.idle.append(link)
+            self.idle.append(connection)
         self._wake_one()
 
-    async def _take_idle(self) -> ServerLink | None:
+    async def _take_idle(self) -> ServerConnection | None:
         while self.idle:
-            link = self.idle.pop()
+            connection = self.idle.pop()
             self.in_use += 1
-            if link.ended:
+            if connection.ended:
                 self.in_use -= 1
-                self._drop(link, "lost")
+                self._drop(connection, "lost")
                 continue
-            if link.last_answer_at >= self.last_loss_at:
-                return link
-            if await self._is_alive(link):
-                return link
+            if connection.last_answer_at >= self.last_loss_at:
+                return connection
+            if await self._is_alive(connection):
+                return connection
             self.in_use -= 1
-            self._drop(link, "silent")
+            self._drop(connection, "silent")
         return None
 
-    async def _is_alive(self, link: ServerLink) -> bool:
+    async def _is_alive(self, connection: ServerConnection) -> bool:
         try:
-            return await link.ping(PING_TIMEOUT_SECONDS)
+            return await connection.ping(PING_TIMEOUT_SECONDS)
         except asyncio.CancelledError:
             self.in_use -= 1
             self._wake_one()
@@ -177,22 +180,22 @@
 
     async def _open(
         self, timeout_seconds: float
-    ) -> ServerLink | ConnectFailed | PoolExhausted:
+    ) -> ServerConnection | ConnectFailed | PoolExhausted:
         if timeout_seconds <= 0:
             return PoolExhausted("no time left to connect")
         self.opening += 1
         try:
-            link = await ServerLink.open(
+            connection = await ServerConnection.open(
                 self.endpoint, min(timeout_seconds, CONNECT_TIMEOUT_SECONDS)
             )
         finally:
             self.opening -= 1
-        if isinstance(link, ConnectFailed):
+        if isinstance(connection, ConnectFailed):
             self._wake_one()
-            return link
+            return connection
         self.in_use += 1
-        self.busy.add(link)
-        return link
+        self.busy.add(connection)
+        return connection
 
     async def _wait_for_release(self, deadline: float) -> bool:
         waiter = asyncio.get_running_loop().create_future()
@@ -222,9 +225,9 @@
         while self.waiters:
             self._wake_one()
 
-    def _drop(self, link: ServerLink, why: str) -> None:
+    def _drop(self, connection: ServerConnection, why: str) -> None:
         self.last_loss_at = time.monotonic()
-        link.close()
+        connection.close()
         self.on_drop(self.endpoint.server, why)
 
     def _close_idle(self) -> None:
@@ -241,23 +244,23 @@
             await asyncio.sleep(IDLE_CHECK_SECONDS)
 
     def _drop_ended(self) -> None:
-        for link in tuple(self.idle):
-            if link.ended:
-                self.idle.remove(link)
-                self._drop(link, "lost")
+        for connection in tuple(self.idle):
+            if connection.ended:
+                self.idle.remove(connection)
+                self._drop(connection, "lost")
 
     async def _check_oldest_idle(self) -> None:
         stale_before = time.monotonic() - MAX_SILENCE_SECONDS
         if not self.idle or self.pinged_at > stale_before:
             return
-        link = min(self.idle, key=lambda one: one.last_answer_at)
-        if link.last_answer_at > stale_before:
+        connection = min(self.idle, key=lambda one: one.last_answer_at)
+        if connection.last_answer_at > stale_before:
             return
         self.pinged_at = time.monotonic()
-        self.idle.remove(link)
+        self.idle.remove(connection)
         self.in_use += 1
-        answered = await self._is_alive(link)
-        self._finish_release(link)
+        answered = await self._is_alive(connection)
+        self._finish_release(connection)
         if not answered:
             await self._check_all_idle()
 
@@ -267,16 +270,16 @@
         self.idle.clear()
         self.in_use += len(idle)
         answers = await asyncio.gather(*map(self._is_alive, idle))
-        for link in idle:
-            self._finish_release(link)
+        for connection in idle:
+            self._finish_release(connection)
         return not all(answers)
 
     def _answer_is_late(self) -> bool:
         late_before = time.monotonic() - LATE_ANSWER_SECONDS
         return any(
-            link.statement_sent_at is not None
-            and link.statement_sent_at < late_before
-            for link in self.busy
+            connection.statement_sent_at is not None
+            and connection.statement_sent_at < late_before
+            for connection in self.busy
         )
 
     async def _drop_silent_busy(self) -> None:
@@ -286,23 +289,28 @@
         lies between has lost track of the old ones.
         """
         suspected = [
-            link for link in self.busy if link.statement_sent_at is not None
+            connection
+            for connection in self.busy
+            if connection.statement_sent_at is not None
         ]
         if not await self._check_all_idle():
             return
         fresh = await self._open(CONNECT_TIMEOUT_SECONDS)
-        if not isinstance(fresh, ServerLink):
+        if not isinstance(fresh, ServerConnection):
             return
         self._finish_release(fresh)
-        for link in suspected:
-            if link in self.busy and link.statement_sent_at is not None:
+        for connection in suspected:
+            if (
+                connection in self.busy
+                and connection.statement_sent_at is not None
+            ):
                 self.on_drop(self.endpoint.server, "silent")
-                link.close()
+                connection.close()
 
     async def _open_warm_connections(self) -> None:
         wanted = min(self.warm, self.limit)
         while self.open_count < wanted and not self.draining:
-            link = await self._open(CONNECT_TIMEOUT_SECONDS)
-            if not isinstance(link, ServerLink):
+            connection = await self._open(CONNECT_TIMEOUT_SECONDS)
+            if not isinstance(connection, ServerConnection):
                 return
-            self._finish_release(link)
+            self._finish_release(connection)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
@@ -7,7 +7,7 @@
 
 from jackdawcrank.backend.endpoint import Endpoint
 from jackdawcrank.backend.mysql_control import MysqlControl
-from jackdawcrank.backend.server_connection import ServerLink
+from jackdawcrank.backend.server_connection import ServerConnection
 from jackdawcrank.backend.server_pool import ServerPool
 from jackdawcrank.execution.open_primary import OpenPrimary
 from jackdawcrank.execution.signal import Signal
@@ -105,7 +105,7 @@
         self.leaving_since: dict[str, float] = {}
         self.on_answer: AnswerListener = _ignore
         self.on_silence: SilenceListener = _ignore
-        self.busy_links: dict[ServerLink, int] = {}
+        self.busy_links: dict[ServerConnection, int] = {}
         self.link_freed = Signal()
         self.quiescing = 0
         self.held_term = 0
@@ -364,7 +364,7 @@
             if started < term:
                 link.close()
 
-    def link_started(self, link: ServerLink, term: int) -> None:
+    def link_started(self, link: ServerConnection, term: int) -> None:
         """Note that a primary owes an answer, or a transaction's end.
 
         Args:
@@ -373,7 +373,7 @@
         """
         self.busy_links[link] = term
 
-    def link_finished(self, link: ServerLink) -> None:
+    def link_finished(self, link: ServerConnection) -> None:
         """Note that nothing is under way on a connection any more.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/open_transaction.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from jackdawcrank.backend.server_connection import ServerLink
+from jackdawcrank.backend.server_connection import ServerConnection
 from jackdawcrank.execution.open_primary import OpenPrimary
 
 
@@ -24,7 +24,7 @@
 
     transaction_id: str
     session_id: str
-    link: ServerLink
+    link: ServerConnection
     primary: OpenPrimary
     opened_at: float
     wrote: bool = False
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/record_expiry.py
@@ -3,7 +3,7 @@
 import time
 
 from jackdawcrank.backend.answer import OkAnswer, RowsAnswer
-from jackdawcrank.backend.server_connection import ServerLink
+from jackdawcrank.backend.server_connection import ServerConnection
 from jackdawcrank.execution.group_state import GroupState
 from jackdawcrank.execution.statement_runner import (
     NotStarted,
@@ -58,7 +58,7 @@
         finally:
             self.state.pools[primary.server].release(link)
 
-    async def _delete(self, link: ServerLink) -> int:
+    async def _delete(self, link: ServerConnection) -> int:
         answer = await link.run(SELECT_OLDEST, STATEMENT_SECONDS)
         if not isinstance(answer, RowsAnswer) or not answer.rows:
             return 0
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
@@ -7,12 +7,12 @@
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
-    LinkAnswer,
     LostAnswer,
     OkAnswer,
     RowsAnswer,
+    ServerAnswer,
 )
-from jackdawcrank.backend.server_connection import ServerLink
+from jackdawcrank.backend.server_connection import ServerConnection
 from jackdawcrank.execution.acknowledger import Acknowledger, ReadVerdict
 from jackdawcrank.execution.group_state import GroupState, no_primary
 from jackdawcrank.execution.statement_runner import (
@@ -62,7 +62,7 @@
     return statement.sql % values
 
 
-def reply_from(answer: LinkAnswer) -> StatementReply:
+def reply_from(answer: ServerAnswer) -> StatementReply:
     """Return what a connection's answer means to an execution.
 
     Args:
@@ -118,7 +118,7 @@
 
     async def execute(
         self,
-        link: ServerLink,
+        link: ServerConnection,
         request: StatementRequest,
         implicit_commit: bool,
         deadline: float,
@@ -151,8 +151,8 @@
         return step
 
     async def insert_for_commit(
-        self, link: ServerLink, request_id: str, deadline: float
-    ) -> LinkAnswer:
+        self, link: ServerConnection, request_id: str, deadline: float
+    ) -> ServerAnswer:
         """Record a request id in an open transaction.
 
         Args:
@@ -225,7 +225,7 @@
 
     async def _select(
         self, server: str, request_id: str, deadline: float
-    ) -> LinkAnswer | NotStarted:
+    ) -> ServerAnswer | NotStarted:
         link = await self.runner.acquire(server, (), deadline)
         if isinstance(link, NotStarted):
             return link
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/statement_runner.py
@@ -4,11 +4,11 @@
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
-    LinkAnswer,
     LostAnswer,
     OkAnswer,
+    ServerAnswer,
 )
-from jackdawcrank.backend.server_connection import ServerLink
+from jackdawcrank.backend.server_connection import ServerConnection
 from jackdawcrank.execution.group_state import GroupState
 from jackdawcrank.execution.open_primary import OpenPrimary
 from jackdawcrank_policy.routing import ServerLoad
@@ -45,7 +45,7 @@
         request: StatementRequest,
         deadline: float,
         term: int | None = None,
-    ) -> LinkAnswer | NotStarted:
+    ) -> ServerAnswer | NotStarted:
         """Run a request's statement on a server.
 
         Args:
@@ -63,7 +63,7 @@
             return NotStarted("the primary was moved meanwhile")
         load = self.state.table.loads.get(server)
         started = self.state.clock()
-        answer: LinkAnswer = LostAnswer(True, "cancelled")
+        answer: ServerAnswer = LostAnswer(True, "cancelled")
         if load is not None:
             load.start()
         try:
@@ -79,7 +79,7 @@
 
     async def acquire(
         self, server: str, setup: tuple[str, ...], deadline: float
-    ) -> ServerLink | NotStarted:
+    ) -> ServerConnection | NotStarted:
         """Return a prepared connection to a server.
 
         Args:
@@ -90,7 +90,7 @@
         pool = self.state.pools[server]
         timeout = min(ACQUIRE_SECONDS, self.remaining(deadline))
         link = await pool.acquire(timeout)
-        if not isinstance(link, ServerLink):
+        if not isinstance(link, ServerConnection):
             self._count_failure(server)
             return NotStarted(link.detail)
         refusal = "cancelled"
@@ -101,7 +101,9 @@
                 pool.release(link)
         return NotStarted(refusal) if refusal else link
 
-    async def _set_up(self, link: ServerLink, setup: tuple[str, ...]) -> str:
+    async def _set_up(
+        self, link: ServerConnection, setup: tuple[str, ...]
+    ) -> str:
         """Set session variables; return why that failed, or nothing."""
         for statement in setup:
             link.dirty = True
@@ -135,7 +137,7 @@
         self,
         server: str,
         load: ServerLoad,
-        answer: LinkAnswer,
+        answer: ServerAnswer,
         started: float,
     ) -> None:
         """Take an answer, or its loss, as evidence on the server."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/transactions.py
@@ -7,10 +7,10 @@
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
-    LinkAnswer,
     LostAnswer,
     OkAnswer,
     RowsAnswer,
+    ServerAnswer,
 )
 from jackdawcrank.execution.acknowledger import Acknowledger, ReadVerdict
 from jackdawcrank.execution.admission_gate import AdmissionGate
@@ -197,7 +197,7 @@
             self.state.pools[primary.server].release(link)
         link.dirty = True
         self.state.link_started(link, primary.term)
-        answer: LinkAnswer = LostAnswer(False, "cancelled")
+        answer: ServerAnswer = LostAnswer(False, "cancelled")
         try:
             answer = await link.run("BEGIN", self.runner.remaining(deadline))
         finally:
@@ -275,7 +275,7 @@
     async def _rows_stand(
         self,
         transaction: OpenTransaction,
-        answer: LinkAnswer,
+        answer: ServerAnswer,
         deadline: float,
     ) -> bool:
         if not isinstance(answer, RowsAnswer):
@@ -308,7 +308,7 @@
     async def _judge_commit(
         self,
         transaction: OpenTransaction,
-        answer: LinkAnswer,
+        answer: ServerAnswer,
         deadline: float,
     ) -> StatementResult:
         if isinstance(answer, ErrorAnswer):
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/write_path.py
@@ -2,9 +2,9 @@
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
-    LinkAnswer,
     LostAnswer,
     OkAnswer,
+    ServerAnswer,
 )
 from jackdawcrank.execution.acknowledger import (
     LOST_WRITE_CODE,
@@ -130,7 +130,7 @@
 
     async def _judge(
         self,
-        answer: LinkAnswer | NotStarted,
+        answer: ServerAnswer | NotStarted,
         primary: OpenPrimary,
         deadline: float,
     ) -> StatementResult:
@@ -305,7 +305,7 @@
     return kind is FrontKind.IMPLICIT_COMMIT or first_word(sql) == "call"
 
 
-def _was_rolled_back(answer: LinkAnswer | NotStarted) -> bool:
+def _was_rolled_back(answer: ServerAnswer | NotStarted) -> bool:
     return isinstance(answer, ErrorAnswer) and answer.code == READ_ONLY_CODE
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/prefetched_group_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/prefetched_group_rows.py
@@ -34,7 +34,7 @@
     present: Row | None
 
 
-class QuickGroupRows:
+class PrefetchedGroupRows:
     """Claims a group's row in two calls, or in one if it was prepared.
 
     The head and the row are read together, and neither is read again after
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
@@ -10,7 +10,7 @@
 
 from jackdawcrank.config import ChangeLogCompactor, ConfigurationFollower
 from jackdawcrank.front.front_server import FrontServer
-from jackdawcrank.groups.prefetched_group_rows import QuickGroupRows
+from jackdawcrank.groups.prefetched_group_rows import PrefetchedGroupRows
 from jackdawcrank.membership import MembershipTracker
 from jackdawcrank.metrics import Metrics
 from jackdawcrank.metrics import names as metric_names
@@ -186,7 +186,9 @@
             settings.homes_per_group,
             settings.backend_user,
             settings.backend_password,
-            QuickGroupRows(GroupRows(self.store, self.change_log, settings.vm)),
+            PrefetchedGroupRows(
+                GroupRows(self.store, self.change_log, settings.vm)
+            ),
             StreamGroupPeers(self.links),
             self.timer,
             self.timeline,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/results/answers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/results/answers.py
@@ -2,10 +2,10 @@
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
-    LinkAnswer,
     LostAnswer,
     OkAnswer,
     RowsAnswer,
+    ServerAnswer,
 )
 from jackdawcrank.results.errors import result_error
 from jackdawcrank_policy.values import Failed, Unknown
@@ -17,7 +17,7 @@
 
 
 def result_from_answer(
-    answer: LinkAnswer, server: str, term: int
+    answer: ServerAnswer, server: str, term: int
 ) -> StatementResult:
     """Return the result that an answer stands for.
 
--- a/packages/jackdawcrank-proxy/tests/backend/test_server_pool.py
+++ b/packages/jackdawcrank-proxy/tests/backend/test_server_pool.py
@@ -7,7 +7,7 @@
 
 from jackdawcrank.backend import server_pool
 from jackdawcrank.backend.endpoint import Endpoint
-from jackdawcrank.backend.server_connection import ServerLink
+from jackdawcrank.backend.server_connection import ServerConnection
 from jackdawcrank.backend.server_pool import ServerPool
 from jackdawcrank_standins.backend import BackendServer
 
@@ -25,16 +25,18 @@
 
 
 @pytest.fixture
-def pinged(monkeypatch: pytest.MonkeyPatch) -> list[ServerLink]:
+def pinged(monkeypatch: pytest.MonkeyPatch) -> list[ServerConnection]:
     """The connections that were pinged, in order."""
-    found: list[ServerLink] = []
-    ping = ServerLink.ping
+    found: list[ServerConnection] = []
+    ping = ServerConnection.ping
 
-    async def recording_ping(self: ServerLink, timeout_seconds: float) -> bool:
+    async def recording_ping(
+        self: ServerConnection, timeout_seconds: float
+    ) -> bool:
         found.append(self)
         return await ping(self, timeout_seconds)
 
-    monkeypatch.setattr(ServerLink, "ping", recording_ping)
+    monkeypatch.setattr(ServerConnection, "ping", recording_ping)
     monkeypatch.setattr(
         server_pool, "IDLE_CHECK_SECONDS", POLL_INTERVAL_SECONDS
     )
@@ -49,7 +51,7 @@
 
 @pytest.fixture
 async def pool(
-    endpoint: Endpoint, dropped: list[str], pinged: list[ServerLink]
+    endpoint: Endpoint, dropped: list[str], pinged: list[ServerConnection]
 ) -> AsyncIterator[ServerPool]:
     pool = ServerPool(
         endpoint, WARM, WARM, lambda server, why: dropped.append(why)
@@ -62,13 +64,13 @@
 
 def make_idle_connections_stale(pool: ServerPool) -> None:
     """Let every idle connection look as if silent for long, in order."""
-    for number, link in enumerate(pool.idle):
-        link.last_answer_at -= 100 - number
+    for number, connection in enumerate(pool.idle):
+        connection.last_answer_at -= 100 - number
     pool.pinged_at -= 100
 
 
 async def test_only_longest_idle_connection_is_pinged(
-    pool: ServerPool, pinged: list[ServerLink]
+    pool: ServerPool, pinged: list[ServerConnection]
 ) -> None:
     oldest = pool.idle[0]
     make_idle_connections_stale(pool)
@@ -80,7 +82,7 @@
 
 
 async def test_a_fresh_connection_is_not_pinged(
-    pool: ServerPool, pinged: list[ServerLink]
+    pool: ServerPool, pinged: list[ServerConnection]
 ) -> None:
     pool.pinged_at -= 100
     for _ in range(5):
@@ -104,7 +106,7 @@
     pool: ServerPool,
     server: BackendServer,
     dropped: list[str],
-    pinged: list[ServerLink],
+    pinged: list[ServerConnection],
 ) -> None:
     closed = set(pool.idle)
     await server.stop()
@@ -120,13 +122,13 @@
 ) -> None:
     pool = ServerPool(endpoint, 2, 0, lambda server, why: dropped.append(why))
     first = await pool.acquire(2.0)
-    assert isinstance(first, ServerLink)
+    assert isinstance(first, ServerConnection)
     pool.release(first)
     await server.stop()
     await server.restart()
     await wait_until(lambda: first.ended)
     second = await pool.acquire(2.0)
-    assert isinstance(second, ServerLink)
+    assert isinstance(second, ServerConnection)
     assert second is not first
     assert dropped == ["lost"]
     pool.release(second)
--- a/packages/jackdawcrank-proxy/tests/execution/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/execution/conftest.py
@@ -13,14 +13,14 @@
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
-    LinkAnswer,
     LostAnswer,
     OkAnswer,
     Row,
     RowsAnswer,
+    ServerAnswer,
 )
 from jackdawcrank.backend.endpoint import Endpoint
-from jackdawcrank.backend.server_connection import ServerLink
+from jackdawcrank.backend.server_connection import ServerConnection
 from jackdawcrank.execution.home_group import HomeGroup
 from jackdawcrank_policy.lease import LeaseTable
 from jackdawcrank_policy.values import (
@@ -100,7 +100,7 @@
         return planned.popleft() if planned else "ok"
 
 
-class FakeLink(ServerLink):
+class FakeLink(ServerConnection):
     """One connection to the fake."""
 
     def __init__(self, server: str, backend: FakeBackend) -> None:
@@ -128,7 +128,9 @@
         self.dirty = False
         return self.usable
 
-    async def run(self, sql: str | bytes, timeout_seconds: float) -> LinkAnswer:
+    async def run(
+        self, sql: str | bytes, timeout_seconds: float
+    ) -> ServerAnswer:
         text = sql if isinstance(sql, str) else sql.decode()
         if not self.usable:
             return LostAnswer(False, "the connection is closed")
@@ -142,7 +144,7 @@
         finally:
             self.running -= 1
 
-    async def serve(self, sql: str) -> LinkAnswer:
+    async def serve(self, sql: str) -> ServerAnswer:
         step = step_of(sql)
         fate = self.backend.fate(step)
         if fate == "lost_before_sent":
@@ -169,7 +171,7 @@
             return LostAnswer(True, fate)
         return answer
 
-    def apply(self, step: str, sql: str) -> LinkAnswer:
+    def apply(self, step: str, sql: str) -> ServerAnswer:
         backend = self.backend
         match step:
             case "begin":
@@ -201,7 +203,7 @@
                 return self.write(sql)
         return OkAnswer()
 
-    def write(self, sql: str) -> LinkAnswer:
+    def write(self, sql: str) -> ServerAnswer:
         self.pending.append(sql)
         if self.in_transaction and "CALL" not in sql:
             return OkAnswer(affected_rows=1)
@@ -319,7 +321,7 @@
             backend.links.append(link)
             return link
 
-        monkeypatch.setattr(ServerLink, "open", connect)
+        monkeypatch.setattr(ServerConnection, "open", connect)
         leases = LeaseTable("vm1", renewed_at=math.inf)
         group = HomeGroup(
             "vm1",
--- a/packages/jackdawcrank-proxy/tests/groups/test_prefetched_group_rows.py
+++ b/packages/jackdawcrank-proxy/tests/groups/test_prefetched_group_rows.py
@@ -4,7 +4,7 @@
 import pytest
 
 from jackdawcrank.groups.group_store import Conflict, Stored
-from jackdawcrank.groups.prefetched_group_rows import QuickGroupRows
+from jackdawcrank.groups.prefetched_group_rows import PrefetchedGroupRows
 from jackdawcrank.store.change_log import ChangeLog
 from jackdawcrank.store.group_rows import GroupRows
 from jackdawcrank.store.outcome import (
@@ -62,13 +62,13 @@
 
 
 @pytest.fixture
-def rows(tables: FakeTables) -> QuickGroupRows:
+def rows(tables: FakeTables) -> PrefetchedGroupRows:
     log = ChangeLog(tables)  # type: ignore[arg-type]
-    return QuickGroupRows(GroupRows(tables, log, "vm1"))  # type: ignore[arg-type]
+    return PrefetchedGroupRows(GroupRows(tables, log, "vm1"))  # type: ignore[arg-type]
 
 
 async def test_opening_after_claim_takes_one_call(
-    tables: FakeTables, rows: QuickGroupRows
+    tables: FakeTables, rows: PrefetchedGroupRows
 ) -> None:
     assert await rows.claim(None, CLAIMED) == Stored(1)
     assert (tables.gets, tables.transactions) == (2, 1)
@@ -78,7 +78,7 @@
 
 
 async def test_a_prepared_claim_takes_one_call(
-    tables: FakeTables, rows: QuickGroupRows
+    tables: FakeTables, rows: PrefetchedGroupRows
 ) -> None:
     await rows.prepare("ledger")
     gets = tables.gets
@@ -87,7 +87,7 @@
 
 
 async def test_change_of_another_group_in_between_is_retried(
-    tables: FakeTables, rows: QuickGroupRows
+    tables: FakeTables, rows: PrefetchedGroupRows
 ) -> None:
     await rows.claim(None, CLAIMED)
     other = GroupRows(tables, rows.rows.change_log, "vm2")  # type: ignore[arg-type]
@@ -98,7 +98,7 @@
 
 
 async def test_row_claimed_by_another_vm_conflicts(
-    tables: FakeTables, rows: QuickGroupRows
+    tables: FakeTables, rows: PrefetchedGroupRows
 ) -> None:
     await rows.claim(None, CLAIMED)
     other = GroupRows(tables, rows.rows.change_log, "vm2")  # type: ignore[arg-type]
@@ -108,7 +108,7 @@
 
 
 async def test_lost_answers_resolve_to_stored_version(
-    tables: FakeTables, rows: QuickGroupRows
+    tables: FakeTables, rows: PrefetchedGroupRows
 ) -> None:
     tables.lost_transactions = {1, 2}
     assert await rows.claim(None, CLAIMED) == Stored(1)
