--- a/packages/jackdawcrank-proxy/tests/backend/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/backend/conftest.py
@@ -1,4 +1,4 @@
-"""A group of backend stand-ins."""
+"""Fixtures for a group of stand-ins for backend servers."""
 
 from collections.abc import AsyncIterator
 
--- a/packages/jackdawcrank-proxy/tests/backend/test_server_pool.py
+++ b/packages/jackdawcrank-proxy/tests/backend/test_server_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the connections to one backend server."""
+"""Tests of the connection pool of one backend server."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -21,12 +21,12 @@
         if condition():
             return
         await asyncio.sleep(POLL_INTERVAL_SECONDS)
-    raise AssertionError("the condition never held")
+    raise AssertionError("the condition was not met in time")
 
 
 @pytest.fixture
 def pinged(monkeypatch: pytest.MonkeyPatch) -> list[ServerConnection]:
-    """The connections that were pinged, in order."""
+    """Return the list to which pinged connections are added in order."""
     found: list[ServerConnection] = []
     ping = ServerConnection.ping
 
@@ -63,7 +63,7 @@
 
 
 def make_idle_connections_stale(pool: ServerPool) -> None:
-    """Let every idle connection look as if silent for long, in order."""
+    """Backdate the last answers of idle connections, oldest first."""
     for number, connection in enumerate(pool.idle):
         connection.last_answer_at -= 100 - number
     pool.pinged_at -= 100
--- a/packages/jackdawcrank-proxy/tests/groups/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/groups/conftest.py
@@ -1,4 +1,4 @@
-"""Three servers and three homes in memory, on a loop whose time jumps."""
+"""In-memory cluster of three servers and three homes on virtual time."""
 
 import asyncio
 import functools
@@ -43,7 +43,7 @@
 
 @attrs.define(eq=False)
 class FakeServer:
-    """One server as one home sees it."""
+    """One server from the view of one home."""
 
     vm: str
     model: ModelServer
@@ -92,7 +92,7 @@
 
 @attrs.define(eq=False)
 class FakeStore:
-    """The group's row, with outages."""
+    """A store of the group's row that can be made unavailable."""
 
     row: GroupRow | None = None
     version: int = 0
@@ -126,10 +126,11 @@
 
 @attrs.define(eq=False)
 class SimulatedCluster:
-    """The homes' agents and what they share.
+    """The agents of the homes and their shared state.
 
-    Homes do not reach servers over links in `broken_links`, and no place reaches
-    one on another of the `partition_of`; the store is in 0.
+    A home cannot reach a server if the pair is in `broken_links`. VMs and
+    servers reach each other only within a network partition, which
+    `partition_of` gives by name; the store and all others are in partition 0.
     """
 
     store: FakeStore = attrs.field(factory=FakeStore)
@@ -159,7 +160,7 @@
         await asyncio.sleep(3.0)
 
     async def follow(self, vm: str, now: float) -> None:
-        """Read the row as the change log's follower does."""
+        """Read the row and renew leases, as the change log's follower does."""
         if self.partition_of.get(vm):
             return
         if self.store.row is not None and not self.store.down:
@@ -185,7 +186,7 @@
         )
 
     async def stop(self, vm: str) -> None:
-        """End a home as a crash does."""
+        """Stop a home as a crash does."""
         self.stopped.add(vm)
         await self.agents[vm].close()
         await self.timers[vm].close()
@@ -198,7 +199,7 @@
         self.broken_links.update((home, server) for home in homes or HOMES)
 
     async def claimed(self, term: int) -> None:
-        """Wait until a term is claimed in the store."""
+        """Wait until a term or a later one is claimed in the store."""
         claimed = asyncio.Event()
         self.store.claims.append((term, claimed))
         await claimed.wait()
@@ -211,14 +212,17 @@
         )
 
     def replicate(self, name: str) -> None:
-        """Let a replica pull from the primary that it knows."""
+        """Make a replica pull from the primary that was announced to it."""
         server = self.servers[name]
         leader = self.servers.get(server.primary)
         if leader is not None and self.reaches(name, leader.name):
             server.pull(leader)
 
     def write(self, vm: str, write_id: str) -> int | None:
-        """Write through a home; return the term that acknowledged it."""
+        """Write through a home and return the term that acknowledged it.
+
+        Returns None if the write is not acknowledged.
+        """
         row = self.leases[vm].rows.get(GROUP)
         if row is None or not self.reaches(vm, row.primary):
             return None
@@ -254,7 +258,7 @@
 
 @attrs.define(eq=False)
 class FakePeers:
-    """The other homes' agents."""
+    """Requests of one home to the agents of the others."""
 
     cluster: SimulatedCluster
     vm: str
@@ -290,7 +294,7 @@
 
 @attrs.define(eq=False)
 class HomeStoreClient:
-    """The store as one home reaches it."""
+    """Access of one home to the store."""
 
     cluster: SimulatedCluster
     vm: str
@@ -316,7 +320,7 @@
 
 @pytest.fixture
 def run_scenario() -> Callable[..., SimulatedCluster]:
-    """Return a function that runs a scenario on a started cluster."""
+    """Return a function that starts a cluster and runs a scenario on it."""
 
     def run(scenario: Scenario, spec: GroupSpec = SPEC) -> SimulatedCluster:
         cluster = SimulatedCluster()
--- a/packages/jackdawcrank-proxy/tests/groups/test_group_agent.py
+++ b/packages/jackdawcrank-proxy/tests/groups/test_group_agent.py
@@ -1,4 +1,4 @@
-"""The agents of one group through failures."""
+"""Tests of failover and switch-over of one group."""
 
 import asyncio
 from collections.abc import Callable
--- a/packages/jackdawcrank-proxy/tests/groups/test_group_probes.py
+++ b/packages/jackdawcrank-proxy/tests/groups/test_group_probes.py
@@ -1,4 +1,4 @@
-"""Tests of the pace of probes."""
+"""Tests of the probe intervals of a group's servers."""
 
 import asyncio
 import functools
@@ -28,7 +28,7 @@
 
 
 class Server:
-    """Counts its probes and answers while it is up."""
+    """Records the times of its probes and answers while it is up."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -45,7 +45,7 @@
 
 
 class ProbeHarness:
-    """The probes of three servers on virtual time."""
+    """Group probes of three servers on virtual time."""
 
     def __init__(self, coordinating: bool) -> None:
         self.loop = asyncio.get_running_loop()
@@ -64,7 +64,7 @@
         await asyncio.sleep(SETTLE_SECONDS)
 
     async def rates(self) -> list[float]:
-        """Return the probes a second of each server over some time."""
+        """Return the probes per second of each server."""
         for server in self.servers.values():
             server.probe_times.clear()
         await asyncio.sleep(MEASUREMENT_SECONDS)
--- a/packages/jackdawcrank-proxy/tests/groups/test_histories.py
+++ b/packages/jackdawcrank-proxy/tests/groups/test_histories.py
@@ -1,4 +1,4 @@
-"""Histories of whole runs under overlapping faults."""
+"""Tests of invariants over whole runs with overlapping faults."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 
 async def inject_fault(cluster: Any, rng: random.Random) -> None:
-    """Cause one fault and mend it later."""
+    """Inject one random fault and remove it after a random time."""
     seconds = rng.uniform(0.2, 8.0)
     server = rng.choice([*SERVERS, cluster.row.primary])
     match rng.choice(["part", "part", "refuse", "store", "move"]):
@@ -51,7 +51,7 @@
 async def write_continuously(
     cluster: Any, rng: random.Random, history: History
 ) -> None:
-    """Write through the homes and record what is acknowledged."""
+    """Write through random homes and record acknowledged writes."""
     for number in range(10_000):
         await asyncio.sleep(0.05)
         if rng.random() < 0.3:
@@ -71,7 +71,7 @@
 
 
 def complete(history: History, cluster: Any) -> None:
-    """Add the terms and logs of a run that is over."""
+    """Add the terms and logs of a finished run to its history."""
     terms: dict[int, TermRecord] = {}
     for row, at in zip(
         cluster.store.openings, cluster.store.opened_at, strict=True
--- a/packages/jackdawcrank-proxy/tests/groups/test_prefetched_group_rows.py
+++ b/packages/jackdawcrank-proxy/tests/groups/test_prefetched_group_rows.py
@@ -1,4 +1,4 @@
-"""Claims with few calls, also when answers are lost."""
+"""Tests of the number of store calls per claim and of lost answers."""
 
 import attrs
 import pytest
@@ -24,7 +24,7 @@
 
 @attrs.define
 class FakeTables:
-    """Tables that count calls and may lose the answers of some."""
+    """Tables that count calls and can lose answers to transactions."""
 
     rows: dict[tuple[str, str], Row] = attrs.field(factory=dict)
     gets: int = 0
