--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/claim_watch.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/claim_watch.py
@@ -45,7 +45,7 @@
     def start(self) -> None:
         """Start checking whether the group still has no row."""
         self.bootstrap_call = self.context.timer.call_later(
-            BOOTSTRAP_RETRY_SECONDS, self.consider_bootstrap
+            BOOTSTRAP_RETRY_SECONDS, self.try_bootstrap
         )
 
     def close(self) -> None:
@@ -54,7 +54,7 @@
             if call is not None:
                 call.close()
 
-    async def consider_bootstrap(self, now: float) -> None:
+    async def try_bootstrap(self, now: float) -> None:
         """Elect the first primary of a group that has no row."""
         if self.context.closed or self.context.row is not None:
             return
@@ -86,17 +86,17 @@
         position = self.context.takeover_rank
         if position is not None:
             delay = PREPARING_TAKEOVER_SECONDS + takeover_delay(position)
-            self.plan_takeover(delay)
+            self.schedule_takeover(delay)
 
-    def plan_takeover(self, delay_seconds: float) -> None:
+    def schedule_takeover(self, delay_seconds: float) -> None:
         """Schedule the takeover check, replacing an earlier schedule."""
         if self.takeover_call is not None:
             self.takeover_call.close()
         self.takeover_call = self.context.timer.call_later(
-            delay_seconds, self.consider_takeover
+            delay_seconds, self.try_takeover
         )
 
-    async def consider_takeover(self, now: float) -> None:
+    async def try_takeover(self, now: float) -> None:
         """Claim the next term if the coordinator abandoned its claim."""
         row = self.context.row
         if self.context.closed or row is None:
@@ -104,11 +104,11 @@
         if row.phase is not GroupPhase.PREPARING:
             return
         if self.driver.busy or await self.is_coordinated(row):
-            self.plan_takeover(RETRY_SECONDS)
+            self.schedule_takeover(RETRY_SECONDS)
             return
         if self.context.row != row or self.driver.busy:
             return
-        self.plan_takeover(RETRY_SECONDS)
+        self.schedule_takeover(RETRY_SECONDS)
         await self.driver.promote(PromotionCause.TAKEOVER)
 
     async def is_coordinated(self, row: GroupRow) -> bool:
