--- a/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_link.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_connection.py
@@ -12,10 +12,10 @@
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
-    LinkAnswer,
     LostAnswer,
     OkAnswer,
     RowsAnswer,
+    ServerAnswer,
 )
 from jackdawcrank.backend.endpoint import Endpoint
 from jackdawcrank_policy.values import Position
@@ -25,7 +25,8 @@
 ERROR_TOO_MANY_CONNECTIONS = 1040
 FIRST_CLIENT_ERROR = 2000
 LAST_CLIENT_ERROR = 2999
-# Unacknowledged data ends a connection after 3 s, silence after 10 s + 3 * 1 s.
+# The kernel closes a connection whose data stays unacknowledged for 3 s, or an
+# idle one after 10 s plus three unanswered keepalive probes 1 s apart.
 TCP_LIMITS = {
     socket.TCP_USER_TIMEOUT: 3000,
     socket.TCP_KEEPIDLE: 10,
@@ -37,49 +38,50 @@
 
 @attrs.frozen
 class ConnectFailed:
-    """No connection could be opened.
+    """The connection could not be opened.
 
     Attributes:
-      full: Whether the server refused for its connection limit.
-      detail: A sentence for people.
+      full: Whether the server has reached its connection limit.
+      detail: A human-readable explanation.
     """
 
     full: bool
     detail: str
 
 
-class ServerLink:
-    """One logged-in connection, used by one statement at a time.
+class ServerConnection:
+    """One authenticated connection that runs one statement at a time.
 
     Attributes:
       server: The server's name.
       usable: Whether the connection may run another statement.
-      last_answer_at: When the server last answered, on the monotonic clock.
-      dirty: Whether session state may be left that a reset must clear.
-      asked_at: When the statement under way was sent; None while idle.
+      last_answer_at: Monotonic time of the server's last answer, in seconds.
+      dirty: Whether a reset must clear session state before reuse.
+      statement_sent_at: Monotonic time at which the running statement was
+        sent, in seconds; None while idle.
     """
 
-    def __init__(self, server: str, connection: Any) -> None:
+    def __init__(self, server: str, driver_connection: Any) -> None:
         self.server = server
-        self.connection = connection
+        self.driver_connection = driver_connection
         self.usable = True
         self.dirty = False
-        self.asked_at: float | None = None
+        self.statement_sent_at: float | None = None
         self.last_answer_at = time.monotonic()
 
     @classmethod
     async def open(
         cls, endpoint: Endpoint, timeout_seconds: float
-    ) -> "ServerLink | ConnectFailed":
-        """Open a connection and log in.
+    ) -> "ServerConnection | ConnectFailed":
+        """Open a connection and authenticate.
 
         Args:
-          endpoint: The server.
-          timeout_seconds: The longest that this may take.
+          endpoint: The server's address and credentials.
+          timeout_seconds: The maximum duration, in seconds.
         """
         try:
             async with asyncio.timeout(timeout_seconds):
-                connection = await asyncmy.connect(
+                driver_connection = await asyncmy.connect(
                     host=endpoint.host,
                     port=endpoint.port,
                     user=endpoint.user,
@@ -94,33 +96,35 @@
             return ConnectFailed(False, "no answer to the login in time")
         except (asyncmy_errors.MySQLError, OSError, EOFError) as error:
             return ConnectFailed(_error_code(error) == 1040, str(error))
-        set_tcp_limits(connection)
-        return cls(endpoint.server, connection)
+        set_tcp_limits(driver_connection)
+        return cls(endpoint.server, driver_connection)
 
     @property
     def ended(self) -> bool:
-        """Return whether the connection is closed, by whichever end."""
-        transport = self.connection._transport
+        """Return whether either end has closed the connection."""
+        transport = self.driver_connection._transport
         return not self.usable or transport is None or transport.is_closing()
 
-    async def run(self, sql: str | bytes, timeout_seconds: float) -> LinkAnswer:
-        """Run one statement and read its whole answer.
+    async def run(
+        self, sql: str | bytes, timeout_seconds: float
+    ) -> ServerAnswer:
+        """Run one statement and read its complete answer.
 
-        A connection that gives no complete answer in time is closed for good.
+        The connection is closed if there is no complete answer in time.
 
         Args:
           sql: The statement.
-          timeout_seconds: The longest that this may take.
+          timeout_seconds: The maximum duration, in seconds.
         """
         if not self.usable:
             return LostAnswer(False, "the connection is closed")
-        # Closing the connection at the deadline ends the read below; it costs
-        # less than a timeout context on every statement.
+        # Closing the connection at the deadline aborts the read below. This
+        # is cheaper than a timeout context for every statement.
         loop = asyncio.get_running_loop()
-        alarm = loop.call_later(timeout_seconds, self.close)
-        self.asked_at = time.monotonic()
+        deadline_timer = loop.call_later(timeout_seconds, self.close)
+        self.statement_sent_at = time.monotonic()
         try:
-            await self.connection.query(sql)
+            await self.driver_connection.query(sql)
         except asyncmy_errors.MySQLError as error:
             return self._server_error(error)
         except asyncio.CancelledError:
@@ -129,23 +133,27 @@
         except (OSError, EOFError, RuntimeError, ValueError) as error:
             return self._lost(str(error) or type(error).__name__)
         finally:
-            alarm.cancel()
-            self.asked_at = None
+            deadline_timer.cancel()
+            self.statement_sent_at = None
         self.last_answer_at = time.monotonic()
-        return _read_result(self.connection._result)
+        return _read_result(self.driver_connection._result)
 
     async def reset(self, timeout_seconds: float) -> bool:
-        """Clear session state and roll back; return whether it worked.
+        """Clear session state, roll back and return whether that succeeded.
+
+        A connection that fails to reset is closed.
 
         Args:
-          timeout_seconds: The longest that this may take.
+          timeout_seconds: The maximum duration, in seconds.
         """
         if not self.usable:
             return False
         try:
             async with asyncio.timeout(timeout_seconds):
-                await self.connection._execute_command(COM_RESET_CONNECTION, "")
-                await self.connection._read_ok_packet()
+                await self.driver_connection._execute_command(
+                    COM_RESET_CONNECTION, ""
+                )
+                await self.driver_connection._read_ok_packet()
         except (TimeoutError, asyncmy_errors.MySQLError, OSError, EOFError):
             self.close()
             return False
@@ -157,16 +165,18 @@
         return True
 
     async def ping(self, timeout_seconds: float) -> bool:
-        """Return whether the server still answers on this connection.
+        """Return whether the server answers a ping.
+
+        A connection that fails to answer is closed.
 
         Args:
-          timeout_seconds: The longest that this may take.
+          timeout_seconds: The maximum duration, in seconds.
         """
         if not self.usable:
             return False
         try:
             async with asyncio.timeout(timeout_seconds):
-                await self.connection.ping(reconnect=False)
+                await self.driver_connection.ping(reconnect=False)
         except (TimeoutError, asyncmy_errors.MySQLError, OSError, EOFError):
             self.close()
             return False
@@ -177,15 +187,15 @@
         return True
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         self.usable = False
-        self.connection.close()
+        self.driver_connection.close()
 
     def _lost(self, detail: str) -> LostAnswer:
         self.close()
         return LostAnswer(True, detail)
 
-    def _server_error(self, error: Exception) -> LinkAnswer:
+    def _server_error(self, error: Exception) -> ServerAnswer:
         code = _error_code(error)
         if code == 0 or FIRST_CLIENT_ERROR <= code <= LAST_CLIENT_ERROR:
             return self._lost(str(error))
@@ -194,13 +204,13 @@
         return ErrorAnswer(code, sqlstate, str(error.args[-1]))
 
 
-def set_tcp_limits(connection: Any) -> None:
-    """Have the kernel end a connection whose packets are lost for good.
+def set_tcp_limits(driver_connection: Any) -> None:
+    """Make the kernel close a connection whose packets are all lost.
 
     Args:
-      connection: The driver's connection.
+      driver_connection: The driver's connection.
     """
-    raw = connection._transport.get_extra_info("socket")
+    raw = driver_connection._transport.get_extra_info("socket")
     if raw is None:
         return
     for option, value in TCP_LIMITS.items():
@@ -213,7 +223,7 @@
     return code if isinstance(code, int) else 0
 
 
-def _read_result(result: Any) -> LinkAnswer:
+def _read_result(result: Any) -> ServerAnswer:
     if result.fields:
         columns = tuple(_read_column(field) for field in result.fields)
         return RowsAnswer(columns, tuple(result.rows or ()))
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/backend/server_pool.py
@@ -1,4 +1,4 @@
-"""The connections of one proxy to one backend server."""
+"""Connection pool of one proxy for one backend server."""
 
 import asyncio
 import collections
@@ -9,7 +9,10 @@
 import attrs
 
 from jackdawcrank.backend.endpoint import Endpoint
-from jackdawcrank.backend.server_link import ConnectFailed, ServerLink
+from jackdawcrank.backend.server_connection import (
+    ConnectFailed,
+    ServerConnection,
+)
 
 CONNECT_TIMEOUT_SECONDS = 2.0
 RESET_TIMEOUT_SECONDS = 1.0
@@ -21,32 +24,32 @@
 
 @attrs.frozen
 class PoolExhausted:
-    """No connection came free in time.
+    """No connection became available in time.
 
     Attributes:
-      detail: A sentence for people.
+      detail: A human-readable explanation.
     """
 
     detail: str
 
 
 class ServerPool:
-    """Connections to one backend server, within a limit.
+    """A bounded pool of connections to one backend server.
 
-    A connection serves one transaction at a time. It is reset before reuse
-    where session state may be left, checked after another connection to the
-    same server was lost, and closed after any doubtful answer. One idle
-    connection stands for all: the longest silent one is pinged, and the
-    others only if it does not answer.
+    A connection serves one transaction at a time. It is reset before reuse if
+    session state may remain, pinged before reuse if another connection to the
+    server was lost since its last answer, and closed after an incomplete
+    answer. Only the connection that has been idle longest is pinged
+    periodically; the others are pinged if it does not answer.
 
     Attributes:
-      endpoint: The server.
-      limit: The most connections to hold; may be changed at any time.
-      warm: How many connections to keep open ahead of need.
-      in_use: The number of connections that run a transaction.
-      draining: Whether new acquisitions are refused.
-      idle: The connections that wait for work.
-      busy: The connections that were acquired.
+      endpoint: The server's address and credentials.
+      limit: The maximum number of connections; may be changed at any time.
+      warm: The number of connections to keep open in advance.
+      in_use: The number of connections in use or being checked.
+      draining: Whether the pool refuses to hand out connections.
+      idle: The connections that are available.
+      busy: The connections that are handed out.
     """
 
     def __init__(
@@ -63,32 +66,32 @@
         self.in_use = 0
         self.opening = 0
         self.draining = False
-        self.suspect_since = 0.0
+        self.last_loss_at = 0.0
         self.pinged_at = 0.0
-        self.idle: list[ServerLink] = []
-        self.busy: set[ServerLink] = set()
+        self.idle: list[ServerConnection] = []
+        self.busy: set[ServerConnection] = set()
         self.waiters: collections.deque[asyncio.Future[None]] = (
             collections.deque()
         )
         self.tasks: set[asyncio.Task[None]] = set()
-        self.keeper: asyncio.Task[None] | None = None
+        self.maintenance_task: asyncio.Task[None] | None = None
 
     @property
     def open_count(self) -> int:
-        """Return the number of connections, opening ones included."""
+        """Return the number of connections, including ones being opened."""
         return len(self.idle) + self.in_use + self.opening
 
     def start(self) -> None:
-        """Start to keep connections warm and checked."""
-        self.keeper = asyncio.create_task(self._keep())
+        """Start the periodic checks and the opening of warm connections."""
+        self.maintenance_task = asyncio.create_task(self._maintain())
 
     async def close(self) -> None:
-        """Close every idle connection and stop the background work."""
+        """Close all idle connections and stop the background tasks."""
         self.draining = True
-        if self.keeper is not None:
-            self.keeper.cancel()
+        if self.maintenance_task is not None:
+            self.maintenance_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self.keeper
+                await self.maintenance_task
         for task in tuple(self.tasks):
             task.cancel()
         self._close_idle()
@@ -96,18 +99,18 @@
 
     async def acquire(
         self, timeout_seconds: float
-    ) -> ServerLink | ConnectFailed | PoolExhausted:
-        """Return a connection that runs nothing.
+    ) -> ServerConnection | ConnectFailed | PoolExhausted:
+        """Return an available connection, opening one if necessary.
 
         Args:
-          timeout_seconds: The longest that this may take.
+          timeout_seconds: The maximum duration, in seconds.
         """
         deadline = time.monotonic() + timeout_seconds
         while not self.draining:
-            link = await self._take_idle()
-            if link is not None:
-                self.busy.add(link)
-                return link
+            connection = await self._take_idle()
+            if connection is not None:
+                self.busy.add(connection)
+                return connection
             if self.open_count < self.limit:
                 remaining = deadline - time.monotonic()
                 return await self._open(remaining)
@@ -115,61 +118,61 @@
                 return PoolExhausted("every connection is in use")
         return PoolExhausted("the server is leaving")
 
-    def release(self, link: ServerLink) -> None:
-        """Give a connection back.
+    def release(self, connection: ServerConnection) -> None:
+        """Return a connection to the pool.
 
         Args:
-          link: A connection from `acquire`; a dirty one is reset first.
+          connection: A connection from `acquire`; a dirty one is reset first.
         """
-        if link.usable and link.dirty and not self.draining:
-            task = asyncio.create_task(self._reset_and_release(link))
+        if connection.usable and connection.dirty and not self.draining:
+            task = asyncio.create_task(self._reset_and_release(connection))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
             return
-        self._finish_release(link)
+        self._finish_release(connection)
 
     def drain(self) -> None:
-        """Refuse new acquisitions and close idle connections."""
+        """Refuse to hand out connections and close the idle ones."""
         self.draining = True
         self._close_idle()
         self._wake_all()
 
-    async def _reset_and_release(self, link: ServerLink) -> None:
+    async def _reset_and_release(self, connection: ServerConnection) -> None:
         try:
-            await link.reset(RESET_TIMEOUT_SECONDS)
+            await connection.reset(RESET_TIMEOUT_SECONDS)
         finally:
-            self._finish_release(link)
+            self._finish_release(connection)
 
-    def _finish_release(self, link: ServerLink) -> None:
+    def _finish_release(self, connection: ServerConnection) -> None:
         self.in_use -= 1
-        self.busy.discard(link)
-        if not link.usable:
-            self._drop(link, "lost")
+        self.busy.discard(connection)
+        if not connection.usable:
+            self._drop(connection, "lost")
         elif self.draining or self.open_count >= self.limit:
-            link.close()
+            connection.close()
         else:
-            self.idle.append(link)
+            self.idle.append(connection)
         self._wake_one()
 
-    async def _take_idle(self) -> ServerLink | None:
+    async def _take_idle(self) -> ServerConnection | None:
         while self.idle:
-            link = self.idle.pop()
+            connection = self.idle.pop()
             self.in_use += 1
-            if link.ended:
+            if connection.ended:
                 self.in_use -= 1
-                self._drop(link, "lost")
+                self._drop(connection, "lost")
                 continue
-            if link.last_answer_at >= self.suspect_since:
-                return link
-            if await self._checked(link):
-                return link
+            if connection.last_answer_at >= self.last_loss_at:
+                return connection
+            if await self._is_alive(connection):
+                return connection
             self.in_use -= 1
-            self._drop(link, "silent")
+            self._drop(connection, "silent")
         return None
 
-    async def _checked(self, link: ServerLink) -> bool:
+    async def _is_alive(self, connection: ServerConnection) -> bool:
         try:
-            return await link.ping(PING_TIMEOUT_SECONDS)
+            return await connection.ping(PING_TIMEOUT_SECONDS)
         except asyncio.CancelledError:
             self.in_use -= 1
             self._wake_one()
@@ -177,22 +180,22 @@
 
     async def _open(
         self, timeout_seconds: float
-    ) -> ServerLink | ConnectFailed | PoolExhausted:
+    ) -> ServerConnection | ConnectFailed | PoolExhausted:
         if timeout_seconds <= 0:
             return PoolExhausted("no time left to connect")
         self.opening += 1
         try:
-            link = await ServerLink.open(
+            connection = await ServerConnection.open(
                 self.endpoint, min(timeout_seconds, CONNECT_TIMEOUT_SECONDS)
             )
         finally:
             self.opening -= 1
-        if isinstance(link, ConnectFailed):
+        if isinstance(connection, ConnectFailed):
             self._wake_one()
-            return link
+            return connection
         self.in_use += 1
-        self.busy.add(link)
-        return link
+        self.busy.add(connection)
+        return connection
 
     async def _wait_for_release(self, deadline: float) -> bool:
         waiter = asyncio.get_running_loop().create_future()
@@ -222,84 +225,92 @@
         while self.waiters:
             self._wake_one()
 
-    def _drop(self, link: ServerLink, why: str) -> None:
-        self.suspect_since = time.monotonic()
-        link.close()
+    def _drop(self, connection: ServerConnection, why: str) -> None:
+        self.last_loss_at = time.monotonic()
+        connection.close()
         self.on_drop(self.endpoint.server, why)
 
     def _close_idle(self) -> None:
         while self.idle:
             self.idle.pop().close()
 
-    async def _keep(self) -> None:
+    async def _maintain(self) -> None:
         while True:
             self._drop_ended()
             if self._answer_is_late():
-                await self._check_silence()
+                await self._drop_silent_busy()
             await self._check_oldest_idle()
-            await self._add_warm()
+            await self._open_warm_connections()
             await asyncio.sleep(IDLE_CHECK_SECONDS)
 
     def _drop_ended(self) -> None:
-        for link in tuple(self.idle):
-            if link.ended:
-                self.idle.remove(link)
-                self._drop(link, "lost")
+        for connection in tuple(self.idle):
+            if connection.ended:
+                self.idle.remove(connection)
+                self._drop(connection, "lost")
 
     async def _check_oldest_idle(self) -> None:
         stale_before = time.monotonic() - MAX_SILENCE_SECONDS
         if not self.idle or self.pinged_at > stale_before:
             return
-        link = min(self.idle, key=lambda one: one.last_answer_at)
-        if link.last_answer_at > stale_before:
+        connection = min(self.idle, key=lambda one: one.last_answer_at)
+        if connection.last_answer_at > stale_before:
             return
         self.pinged_at = time.monotonic()
-        self.idle.remove(link)
+        self.idle.remove(connection)
         self.in_use += 1
-        answered = await self._checked(link)
-        self._finish_release(link)
+        answered = await self._is_alive(connection)
+        self._finish_release(connection)
         if not answered:
             await self._check_all_idle()
 
     async def _check_all_idle(self) -> bool:
-        """Ping every idle connection; return whether one was silent."""
+        """Ping all idle connections; return whether any did not answer."""
         idle = list(self.idle)
         self.idle.clear()
         self.in_use += len(idle)
-        answers = await asyncio.gather(*map(self._checked, idle))
-        for link in idle:
-            self._finish_release(link)
+        answers = await asyncio.gather(*map(self._is_alive, idle))
+        for connection in idle:
+            self._finish_release(connection)
         return not all(answers)
 
     def _answer_is_late(self) -> bool:
         late_before = time.monotonic() - LATE_ANSWER_SECONDS
         return any(
-            link.asked_at is not None and link.asked_at < late_before
-            for link in self.busy
+            connection.statement_sent_at is not None
+            and connection.statement_sent_at < late_before
+            for connection in self.busy
         )
 
-    async def _check_silence(self) -> None:
-        """Tell slow statements from connections that went silent for good.
+    async def _drop_silent_busy(self) -> None:
+        """Close connections that are dead rather than running slow statements.
 
-        Where idle connections are silent too and a new one works, whatever
-        lies between has lost track of the old ones.
+        If idle connections do not answer either, but a new one can be opened,
+        a network device in between has dropped the state of the old ones.
         """
-        suspected = [link for link in self.busy if link.asked_at is not None]
+        suspected = [
+            connection
+            for connection in self.busy
+            if connection.statement_sent_at is not None
+        ]
         if not await self._check_all_idle():
             return
         fresh = await self._open(CONNECT_TIMEOUT_SECONDS)
-        if not isinstance(fresh, ServerLink):
+        if not isinstance(fresh, ServerConnection):
             return
         self._finish_release(fresh)
-        for link in suspected:
-            if link in self.busy and link.asked_at is not None:
+        for connection in suspected:
+            if (
+                connection in self.busy
+                and connection.statement_sent_at is not None
+            ):
                 self.on_drop(self.endpoint.server, "silent")
-                link.close()
+                connection.close()
 
-    async def _add_warm(self) -> None:
+    async def _open_warm_connections(self) -> None:
         wanted = min(self.warm, self.limit)
         while self.open_count < wanted and not self.draining:
-            link = await self._open(CONNECT_TIMEOUT_SECONDS)
-            if not isinstance(link, ServerLink):
+            connection = await self._open(CONNECT_TIMEOUT_SECONDS)
+            if not isinstance(connection, ServerConnection):
                 return
-            self._finish_release(link)
+            self._finish_release(connection)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/group_state.py
@@ -7,7 +7,7 @@
 
 from jackdawcrank.backend.endpoint import Endpoint
 from jackdawcrank.backend.mysql_control import MysqlControl
-from jackdawcrank.backend.server_link import ServerLink
+from jackdawcrank.backend.server_connection import ServerConnection
 from jackdawcrank.backend.server_pool import ServerPool
 from jackdawcrank.execution.open_primary import OpenPrimary
 from jackdawcrank.execution.signal import Signal
@@ -108,7 +108,7 @@
         self.leaving_since: dict[str, float] = {}
         self.on_answer: AnswerListener = _ignore
         self.on_silence: SilenceListener = _ignore
-        self.busy_links: dict[ServerLink, int] = {}
+        self.busy_links: dict[ServerConnection, int] = {}
         self.link_freed = Signal()
         self.quiescing = 0
         self.held_term = 0
@@ -382,7 +382,7 @@
             if started < term:
                 link.close()
 
-    def link_started(self, link: ServerLink, term: int) -> None:
+    def link_started(self, link: ServerConnection, term: int) -> None:
         """Record that a statement or transaction started on a connection.
 
         Args:
@@ -391,7 +391,7 @@
         """
         self.busy_links[link] = term
 
-    def link_finished(self, link: ServerLink) -> None:
+    def link_finished(self, link: ServerConnection) -> None:
         """Record that a connection has nothing in progress.
 
         Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/request_records.py
@@ -7,12 +7,12 @@
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
-    LinkAnswer,
     LostAnswer,
     OkAnswer,
     RowsAnswer,
+    ServerAnswer,
 )
-from jackdawcrank.backend.server_link import ServerLink
+from jackdawcrank.backend.server_connection import ServerConnection
 from jackdawcrank.execution.acknowledger import Acknowledger, ReadVerdict
 from jackdawcrank.execution.group_state import GroupState, no_primary
 from jackdawcrank.execution.statement_runner import (
@@ -65,7 +65,7 @@
     return statement.sql % values
 
 
-def reply_from(answer: LinkAnswer) -> StatementReply:
+def reply_from(answer: ServerAnswer) -> StatementReply:
     """Convert a backend answer to a reply for a request execution.
 
     Args:
@@ -121,7 +121,7 @@
 
     async def execute(
         self,
-        link: ServerLink,
+        link: ServerConnection,
         request: StatementRequest,
         implicit_commit: bool,
         deadline: float,
@@ -154,8 +154,8 @@
         return step
 
     async def insert_for_commit(
-        self, link: ServerLink, request_id: str, deadline: float
-    ) -> LinkAnswer:
+        self, link: ServerConnection, request_id: str, deadline: float
+    ) -> ServerAnswer:
         """Insert the request record of a COMMIT in its open transaction.
 
         Args:
@@ -229,7 +229,7 @@
 
     async def _select(
         self, server: str, request_id: str, deadline: float
-    ) -> LinkAnswer | NotStarted:
+    ) -> ServerAnswer | NotStarted:
         link = await self.runner.acquire(server, (), deadline)
         if isinstance(link, NotStarted):
             return link
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/quick_group_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/prefetched_group_rows.py
@@ -1,4 +1,4 @@
-"""Group rows claimed with as few calls to the store as possible."""
+"""Claims of group rows with few calls to the store."""
 
 import asyncio
 
@@ -22,74 +22,74 @@
 
 
 @attrs.frozen
-class Base:
-    """What a claim is written on top of.
+class ClaimBase:
+    """State of the store that a claim expects.
 
     Attributes:
       head: The head of the change log.
-      present: The group's row as it stands; None if there is none.
+      present: The group's stored row; None if there is none.
     """
 
     head: Head
     present: Row | None
 
 
-class QuickGroupRows:
-    """Claims a group's row in two calls, or in one if it was prepared.
+class PrefetchedGroupRows:
+    """Claims a group's row in two calls, or in one after `prepare`.
 
-    The head and the row are read together, and neither is read again after
-    `prepare` or an own change: the transaction checks both, so an outdated
-    base fails. A claim that does not go through at once is left to
-    `GroupRows`, which settles it.
+    The head and the row are read concurrently and cached after `prepare` and
+    after each own write. The transaction checks the versions of both, so a
+    claim on outdated values fails. `GroupRows` retries a claim that is not
+    committed at the first attempt and determines its outcome.
 
     Attributes:
-      rows: The group rows.
-      bases: For each group, what the own last change left behind.
+      rows: The group rows without prefetching.
+      claim_bases: The cached head and row of each group.
     """
 
     def __init__(self, rows: GroupRows) -> None:
         self.rows = rows
-        self.bases: dict[str, Base] = {}
+        self.claim_bases: dict[str, ClaimBase] = {}
 
     async def read(self, group: str) -> GroupRow | None | StoreUnavailable:
-        """Return a group's row as it stands in the store."""
+        """Return a group's current row from the store."""
         return await self.rows.read(group)
 
     async def prepare(self, group: str) -> None:
-        """Read what a claim of the group's row would be written on."""
-        base = await self.look(group)
+        """Prefetch the log head and row for a later claim of the group."""
+        base = await self.read_base(group)
         if base is not None:
-            self.bases[group] = base
+            self.claim_bases[group] = base
 
     async def claim(
         self, expected: GroupRow | None, new: GroupRow
     ) -> Stored | Conflict | StoreUnavailable:
-        """Compare-and-set a group's row together with the log's head."""
-        base = self.bases.pop(new.group, None)
+        """Compare-and-set a group's row together with the log head."""
+        base = self.claim_bases.pop(new.group, None)
         if base is None or decode_optional_row(base.present) != expected:
-            base = await self.look(new.group)
+            base = await self.read_base(new.group)
         if base is None or decode_optional_row(base.present) != expected:
             return await self.rows.claim(expected, new)
         version = base.head.version + 1
-        if await self.attempt(base, new):
+        if await self.write_on_base(base, new):
             return Stored(version)
         outcome = await self.rows.claim(expected, new)
         if isinstance(outcome, Stored) and outcome.version == 0:
             return Stored(version)
         return outcome
 
-    async def look(self, group: str) -> Base | None:
-        """Return the head and the group's row; None without an answer."""
+    async def read_base(self, group: str) -> ClaimBase | None:
+        """Read the head and the group's row; None if a read fails."""
         store = self.rows.store
         head, row = await asyncio.gather(
             read_head(store), store.get(GROUPS, group)
         )
         if isinstance(head, NoAnswer) or isinstance(row, NoAnswer):
             return None
-        return Base(head, row if isinstance(row, Row) else None)
+        return ClaimBase(head, row if isinstance(row, Row) else None)
 
-    async def attempt(self, base: Base, new: GroupRow) -> bool:
-        """Write a row on top of a base; return whether it is known to stand."""
+    async def write_on_base(self, base: ClaimBase, new: GroupRow) -> bool:
+        """Write a row on a base and return whether the commit is confirmed."""
         log = self.rows.change_log
         token = log.new_token()
         body = {**encode_group_row(new), "token": token}
@@ -102,7 +102,7 @@
         head_row = outcome.versions.get(f"{HEAD}/{HEAD}")
         own_row = outcome.versions.get(f"{GROUPS}/{new.group}")
         if head_row is not None and own_row is not None:
-            self.bases[new.group] = Base(
+            self.claim_bases[new.group] = ClaimBase(
                 attrs.evolve(
                     base.head, version=change.version, row_version=head_row
                 ),
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/primary_watch.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/primary_watch.py
@@ -1,4 +1,4 @@
-"""Replaces a primary that the homes of its group hold to have failed."""
+"""Replaces a primary that the group's homes judge to have failed."""
 
 import math
 
@@ -23,9 +23,9 @@
 from jackdawcrank_policy.values import GroupPhase, GroupRow
 from jackdawcrank_wire.events import EventKind
 
-EARLY_MISSES = 1
-LAST_LOOK_SECONDS = 0.15
-EVIDENCE_SECONDS = 0.8
+CONSULT_AFTER_MISSES = 1
+FINAL_PROBE_TIMEOUT_SECONDS = 0.15
+MAX_EVIDENCE_AGE_SECONDS = 0.8
 RECHECK_SECONDS = 0.02
 RETRY_SECONDS = 0.25
 MAX_RETRY_SECONDS = 2.0
@@ -34,19 +34,19 @@
 
 
 class PrimaryWatch:
-    """Asks the other homes about a silent primary and orders a promotion.
+    """Consults the other homes on a silent primary and starts a promotion.
 
-    The round of questions starts before the own suspicion is complete, so
-    that the answers are there when it is.
+    The other homes are asked before this VM suspects the primary itself, so
+    that their answers are available as soon as it does.
 
     Attributes:
       context: The group.
       probes: The probes of the group's servers.
       driver: The group's promotions.
-      backoff: Spaces unplanned promotions.
-      suspicious: Whether a suspicion was raised and not cleared.
-      considering: Whether a round of questions is under way.
-      prepared_at: When the store last read ahead, in seconds.
+      backoff: Limits the rate of unplanned promotions.
+      suspicious: Whether a suspicion was recorded and not cleared since.
+      evaluating: Whether the primary is being evaluated.
+      prepared_at: When the store last prefetched for a claim, in seconds.
     """
 
     def __init__(
@@ -60,11 +60,11 @@
         self.driver = driver
         self.backoff = PromotionBackoff()
         self.suspicious = False
-        self.considering = False
+        self.evaluating = False
         self.prepared_at = -math.inf
 
-    def take_row(self, earlier: GroupRow | None, row: GroupRow) -> None:
-        """Count the promotions of which this VM learns.
+    def update_row(self, earlier: GroupRow | None, row: GroupRow) -> None:
+        """Count a promotion after a suspicion towards the backoff.
 
         Args:
           earlier: The row that was known before.
@@ -77,7 +77,10 @@
             self.suspicious = False
 
     def check(self) -> None:
-        """Begin to ask the other homes once the primary looks silent."""
+        """Start an evaluation once the primary has missed an answer.
+
+        A suspicion is cleared if the primary has answered since.
+        """
         row = self.context.row
         if row is None or row.phase is not GroupPhase.ACTIVE:
             return
@@ -85,43 +88,45 @@
         if self.suspicious and detector.misses == 0:
             self.suspicious = False
             self.context.blocked = ""
-            self.context.tell(EventKind.SUSPICION_CLEARED, primary=row.primary)
-        if detector.misses < EARLY_MISSES:
+            self.context.record_event(
+                EventKind.SUSPICION_CLEARED, primary=row.primary
+            )
+        if detector.misses < CONSULT_AFTER_MISSES:
             return
-        if self.considering or self.driver.busy or self.context.closed:
+        if self.evaluating or self.driver.busy or self.context.closed:
             return
-        self.considering = True
-        self.context.tasks.spawn(self.consider(row))
+        self.evaluating = True
+        self.context.tasks.spawn(self.evaluate_primary(row))
 
-    async def consider(self, row: GroupRow) -> None:
-        """Judge a silent primary until it answers or is replaced."""
+    async def evaluate_primary(self, row: GroupRow) -> None:
+        """Evaluate a silent primary until it answers or is replaced."""
         pause = RETRY_SECONDS
         try:
-            while await self.consider_once(row):
+            while await self.evaluate_once(row):
                 await self.context.pause(pause)
                 pause = min(2 * pause, MAX_RETRY_SECONDS)
         finally:
-            self.considering = False
+            self.evaluating = False
 
-    async def consider_once(self, row: GroupRow) -> bool:
-        """Judge a silent primary once; return whether to judge it again."""
+    async def evaluate_once(self, row: GroupRow) -> bool:
+        """Evaluate a silent primary once; return whether to repeat it."""
         now = self.context.timer.now
         self.context.tasks.spawn(self.prepare_claim())
-        judgement = await self.ask()
+        judgement = await self.collect_judgement()
         judged_at = now()
-        health = await self.own_suspicion(row)
+        health = await self.await_own_suspicion(row)
         if health is None or self.context.row != row or self.driver.busy:
             return False
-        if now() - judged_at > EVIDENCE_SECONDS:
-            judgement = await self.ask()
+        if now() - judged_at > MAX_EVIDENCE_AGE_SECONDS:
+            judgement = await self.collect_judgement()
             if self.context.row != row or self.driver.busy:
                 return False
         self.raise_suspicion(row, health, judgement)
-        obstacle = self.obstacle(row, judgement)
-        if obstacle:
-            self.context.block(obstacle)
+        blocking_reason = self.blocking_reason(row, judgement)
+        if blocking_reason:
+            self.context.block(blocking_reason)
             return True
-        answers = await self.probes.answers_now(LAST_LOOK_SECONDS)
+        answers = await self.probes.recheck_primary(FINAL_PROBE_TIMEOUT_SECONDS)
         if answers or self.context.row != row or self.driver.busy:
             return False
         end = await self.driver.promote(PromotionCause.FAILURE)
@@ -131,7 +136,7 @@
         return end.reason is AbandonReason.STORE_UNAVAILABLE
 
     async def prepare_claim(self) -> None:
-        """Have the store read ahead while the other homes are asked."""
+        """Prefetch the rows for a claim while the other homes are asked."""
         now = self.context.timer.now()
         if now < self.prepared_at + PREPARE_INTERVAL_SECONDS:
             return
@@ -139,8 +144,8 @@
             self.prepared_at = now
             await self.context.store.prepare(self.context.spec.name)
 
-    async def ask(self) -> Judgement:
-        """Return the judgement of the homes that can be reached."""
+    async def collect_judgement(self) -> Judgement:
+        """Return the joint judgement of the reachable homes."""
         health = self.probes.detector.corroborating_health(
             self.context.timer.now()
         )
@@ -148,11 +153,12 @@
             self.evidence(health), self.context.homes, self.context.peers
         )
 
-    async def own_suspicion(self, row: GroupRow) -> PrimaryHealth | None:
-        """Wait for this VM's own suspicion and its turn among the homes.
+    async def await_own_suspicion(self, row: GroupRow) -> PrimaryHealth | None:
+        """Wait for this VM's suspicion and then its takeover delay.
 
         Returns:
-          None if the primary answers again or the row has changed.
+          The primary's health, or None if it answers again or the row has
+          changed.
         """
         detector = self.probes.detector
         while self.context.row == row and detector.misses:
@@ -170,19 +176,19 @@
     def raise_suspicion(
         self, row: GroupRow, health: PrimaryHealth, judgement: Judgement
     ) -> None:
-        """Record a suspicion once."""
+        """Record a suspicion unless it is already recorded."""
         if self.suspicious:
             return
         self.suspicious = True
-        self.context.tell(
+        self.context.record_event(
             EventKind.SUSPICION_RAISED,
             primary=row.primary,
             health=health,
             judgement=judgement,
         )
 
-    def obstacle(self, row: GroupRow, judgement: Judgement) -> str:
-        """Return what keeps a suspected primary in office, or nothing."""
+    def blocking_reason(self, row: GroupRow, judgement: Judgement) -> str:
+        """Return why the primary cannot be replaced now, or an empty string."""
         now = self.context.timer.now()
         if self.context.takeover_rank is None:
             return "this VM is not a home of the group"
@@ -196,7 +202,7 @@
         return "too few servers can be fenced"
 
     def evidence(self, health: PrimaryHealth) -> PrimaryEvidence:
-        """Return what this VM has seen of the primary."""
+        """Return this VM's evidence on the primary."""
         now = self.context.timer.now()
         row = self.context.row
         return PrimaryEvidence(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/promotion_driver.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/promotion_driver.py
@@ -1,4 +1,4 @@
-"""Plans and runs the promotions of one group."""
+"""Planning and execution of a group's promotions."""
 
 from collections.abc import Callable
 
@@ -31,7 +31,7 @@
       context: The group.
       probes: The probes of the group's servers.
       store_row: Applies a row that this VM wrote.
-      runner: The promotion under way; None for none.
+      runner: Runs the current promotion; None if there is none.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
 
     @property
     def busy(self) -> bool:
-        """Return whether a promotion is under way."""
+        """Return whether a promotion is in progress."""
         return self.runner is not None
 
     async def promote(
@@ -57,12 +57,12 @@
 
         Args:
           cause: Why the term is claimed.
-          target: The server to prefer.
+          target: The preferred new primary, if any.
         """
         assert self.runner is None
         context = self.context
         plan = self.plan(cause, target)
-        context.tell(EventKind.PROMOTION_STARTED, cause=cause)
+        context.record_event(EventKind.PROMOTION_STARTED, cause=cause)
         self.runner = PromotionRunner(
             Promotion(plan),
             context.servers,
@@ -72,18 +72,18 @@
             context.timer,
             context.tasks,
             self.store_row,
-            self.tell_step,
+            self.record_step,
             context.quiesce,
         )
         try:
             end = await self.runner.run()
         finally:
             self.runner = None
-        self.tell_end(end)
+        self.record_end(end)
         return end
 
     def plan(self, cause: PromotionCause, target: str | None) -> PromotionPlan:
-        """Return the facts that a promotion starts from."""
+        """Return the inputs of a promotion."""
         context = self.context
         history = context.history
         reports = self.probes.reports().values()
@@ -104,36 +104,38 @@
             removed_writers_expire_at=history.removed_writers_expire_at,
         )
 
-    def tell_step(self, step: Action | Event) -> None:
-        """Record a step of the promotion."""
-        tell = self.context.tell
+    def record_step(self, step: Action | Event) -> None:
+        """Record the event for a step of the promotion, if it has one."""
+        record_event = self.context.record_event
         match step:
             case ClaimTerm():
-                tell(EventKind.PROMOTION_PREPARING, claim=step.row.term)
+                record_event(EventKind.PROMOTION_PREPARING, claim=step.row.term)
             case Fenced(report):
-                tell(
+                record_event(
                     EventKind.PROMOTION_SERVER_FENCED,
                     server=report.server,
                     position=report.position,
                 )
             case TimerFired(Timer.LEASES):
-                tell(EventKind.PROMOTION_LEASES_ENDED)
+                record_event(EventKind.PROMOTION_LEASES_ENDED)
             case OpenTerm():
-                tell(
+                record_event(
                     EventKind.PROMOTION_PRIMARY_CHOSEN,
                     primary=step.row.primary,
                     offset=step.row.branch.starts[-1].offset,
                 )
 
-    def tell_end(self, end: Finished | Abandoned) -> None:
-        """Record the end of the promotion."""
+    def record_end(self, end: Finished | Abandoned) -> None:
+        """Record how the promotion ended."""
         if isinstance(end, Finished):
-            self.context.tell(
+            self.context.record_event(
                 EventKind.PROMOTION_FINISHED,
                 primary=end.row.primary,
                 announced=end.announced,
             )
         elif end.reason is AbandonReason.SUPERSEDED:
-            self.context.tell(EventKind.PROMOTION_ABANDONED, reason=end.reason)
+            self.context.record_event(
+                EventKind.PROMOTION_ABANDONED, reason=end.reason
+            )
         else:
             self.context.block(end.reason)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/groups/server_alignment.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/groups/server_alignment.py
@@ -1,4 +1,4 @@
-"""Brings servers that are not in the open term into it."""
+"""Alignment of returning servers with the open term."""
 
 from jackdawcrank.backend.server_control import Refused
 from jackdawcrank.groups.group_context import GroupContext
@@ -15,24 +15,25 @@
 
 
 class ServerAlignment:
-    """Fences servers with the open term and names its primary to them.
+    """Fences servers with the open term and announces its primary to them.
 
     Attributes:
       context: The group.
-      divergent: For each server that returned with entries that the open
-        term dropped, how many they were.
-      tried_at: When each server was last told, in seconds.
-      seen_at: Since when each server's reports do not fit.
+      divergent: The number of log entries, by server, that a returning
+        server had and the open term does not contain.
+      attempted_at: When each server was last aligned, in seconds.
+      mismatch_since: Since when each server's reports disagree with the open
+        term, in seconds.
     """
 
     def __init__(self, context: GroupContext) -> None:
         self.context = context
         self.divergent: dict[str, int] = {}
-        self.tried_at: dict[str, float] = {}
-        self.seen_at: dict[str, float] = {}
+        self.attempted_at: dict[str, float] = {}
+        self.mismatch_since: dict[str, float] = {}
 
     def check(self, report: ServerReport) -> None:
-        """Tell a server of the open term if its report does not fit.
+        """Align a server if its report disagrees with the open term.
 
         Args:
           report: The server's newest report.
@@ -40,20 +41,26 @@
         row = self.context.row
         announcement = required_announcement(row, report) if row else None
         if announcement is None:
-            self.seen_at.pop(report.server, None)
+            self.mismatch_since.pop(report.server, None)
             return
         now = self.context.timer.now()
-        seen_at = self.seen_at.setdefault(report.server, now)
-        if now < seen_at + self.patience():
+        mismatch_since = self.mismatch_since.setdefault(report.server, now)
+        if now < mismatch_since + self.takeover_wait_seconds():
             return
-        tried_at = self.tried_at.get(report.server)
-        if tried_at is not None and now - tried_at < ALIGN_INTERVAL_SECONDS:
+        attempted_at = self.attempted_at.get(report.server)
+        if (
+            attempted_at is not None
+            and now - attempted_at < ALIGN_INTERVAL_SECONDS
+        ):
             return
-        self.tried_at[report.server] = now
+        self.attempted_at[report.server] = now
         self.context.tasks.spawn(self.align(announcement, report))
 
-    def patience(self) -> float:
-        """Return the seconds that this VM leaves to those before it."""
+    def takeover_wait_seconds(self) -> float:
+        """Return how long this VM lets others align a server first.
+
+        Zero for the acting coordinator; other homes wait by rank.
+        """
         if self.context.is_acting:
             return 0.0
         return ALIGN_INTERVAL_SECONDS + takeover_delay(
@@ -63,7 +70,7 @@
     async def align(
         self, announcement: Announcement, report: ServerReport
     ) -> None:
-        """Fence a server with the open term, then name its primary."""
+        """Fence a server with the open term, then announce the primary."""
         server = self.context.servers.get(announcement.server)
         if server is None:
             return
@@ -74,7 +81,7 @@
             if isinstance(answer, Refused):
                 return
         if announcement.divergent_entries:
-            self.tell_divergence(announcement, report)
+            self.record_divergence(announcement, report)
         await server.announce_primary(
             announcement.term,
             announcement.offset,
@@ -82,15 +89,15 @@
             ALIGN_TIMEOUT_SECONDS,
         )
 
-    def tell_divergence(
+    def record_divergence(
         self, announcement: Announcement, report: ServerReport
     ) -> None:
-        """Report the entries that a returning server is about to drop."""
+        """Record the entries that a returning server is about to discard."""
         entries = announcement.divergent_entries
         if self.divergent.get(report.server) == entries:
             return
         self.divergent[report.server] = entries
-        self.context.tell(
+        self.context.record_event(
             EventKind.DIVERGENT_TAIL,
             server=report.server,
             entries=entries,
--- a/packages/jackdawcrank-proxy/tests/backend/test_server_pool.py
+++ b/packages/jackdawcrank-proxy/tests/backend/test_server_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the connections to one backend server."""
+"""Tests of the connection pool of one backend server."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -7,35 +7,39 @@
 
 from jackdawcrank.backend import server_pool
 from jackdawcrank.backend.endpoint import Endpoint
-from jackdawcrank.backend.server_link import ServerLink
+from jackdawcrank.backend.server_connection import ServerConnection
 from jackdawcrank.backend.server_pool import ServerPool
 from jackdawcrank_standins.backend import BackendServer
 
 WARM = 5
-PERIOD_SECONDS = 0.01
-CHECKS = 300
+POLL_INTERVAL_SECONDS = 0.01
+MAX_POLLS = 300
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    for _ in range(CHECKS):
+async def wait_until(condition: Callable[[], bool]) -> None:
+    for _ in range(MAX_POLLS):
         if condition():
             return
-        await asyncio.sleep(PERIOD_SECONDS)
-    raise AssertionError("the condition never held")
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
+    raise AssertionError("the condition was not met in time")
 
 
 @pytest.fixture
-def pinged(monkeypatch: pytest.MonkeyPatch) -> list[ServerLink]:
-    """The connections that were pinged, in order."""
-    found: list[ServerLink] = []
-    ping = ServerLink.ping
-
-    async def counted(self: ServerLink, timeout_seconds: float) -> bool:
+def pinged(monkeypatch: pytest.MonkeyPatch) -> list[ServerConnection]:
+    """Return the list to which pinged connections are added in order."""
+    found: list[ServerConnection] = []
+    ping = ServerConnection.ping
+
+    async def recording_ping(
+        self: ServerConnection, timeout_seconds: float
+    ) -> bool:
         found.append(self)
         return await ping(self, timeout_seconds)
 
-    monkeypatch.setattr(ServerLink, "ping", counted)
-    monkeypatch.setattr(server_pool, "IDLE_CHECK_SECONDS", PERIOD_SECONDS)
+    monkeypatch.setattr(ServerConnection, "ping", recording_ping)
+    monkeypatch.setattr(
+        server_pool, "IDLE_CHECK_SECONDS", POLL_INTERVAL_SECONDS
+    )
     monkeypatch.setattr(server_pool, "PING_TIMEOUT_SECONDS", 0.05)
     return found
 
@@ -47,53 +51,53 @@
 
 @pytest.fixture
 async def pool(
-    endpoint: Endpoint, dropped: list[str], pinged: list[ServerLink]
+    endpoint: Endpoint, dropped: list[str], pinged: list[ServerConnection]
 ) -> AsyncIterator[ServerPool]:
     pool = ServerPool(
         endpoint, WARM, WARM, lambda server, why: dropped.append(why)
     )
     pool.start()
-    await until(lambda: len(pool.idle) == WARM)
+    await wait_until(lambda: len(pool.idle) == WARM)
     yield pool
     await pool.close()
 
 
-def age(pool: ServerPool) -> None:
-    """Let every idle connection look as if silent for long, in order."""
-    for number, link in enumerate(pool.idle):
-        link.last_answer_at -= 100 - number
+def make_idle_connections_stale(pool: ServerPool) -> None:
+    """Backdate the last answers of idle connections, oldest first."""
+    for number, connection in enumerate(pool.idle):
+        connection.last_answer_at -= 100 - number
     pool.pinged_at -= 100
 
 
-async def test_one_idle_connection_is_pinged_for_all(
-    pool: ServerPool, pinged: list[ServerLink]
+async def test_only_longest_idle_connection_is_pinged(
+    pool: ServerPool, pinged: list[ServerConnection]
 ) -> None:
     oldest = pool.idle[0]
-    age(pool)
-    await until(lambda: bool(pinged))
+    make_idle_connections_stale(pool)
+    await wait_until(lambda: bool(pinged))
     for _ in range(5):
-        await asyncio.sleep(PERIOD_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     assert pinged == [oldest]
     assert len(pool.idle) == WARM
 
 
 async def test_a_fresh_connection_is_not_pinged(
-    pool: ServerPool, pinged: list[ServerLink]
+    pool: ServerPool, pinged: list[ServerConnection]
 ) -> None:
     pool.pinged_at -= 100
     for _ in range(5):
-        await asyncio.sleep(PERIOD_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     assert not pinged
 
 
-async def test_a_silent_ping_has_all_others_checked(
+async def test_unanswered_ping_checks_all_idle_connections(
     pool: ServerPool, server: BackendServer, dropped: list[str]
 ) -> None:
     silent = set(pool.idle)
     server.silence()
-    age(pool)
-    await until(lambda: len(dropped) == WARM)
-    await until(lambda: len(pool.idle) == WARM)
+    make_idle_connections_stale(pool)
+    await wait_until(lambda: len(dropped) == WARM)
+    await wait_until(lambda: len(pool.idle) == WARM)
     assert silent.isdisjoint(pool.idle)
     assert (pool.in_use, pool.opening) == (0, 0)
 
@@ -102,29 +106,29 @@
     pool: ServerPool,
     server: BackendServer,
     dropped: list[str],
-    pinged: list[ServerLink],
+    pinged: list[ServerConnection],
 ) -> None:
     closed = set(pool.idle)
     await server.stop()
     await server.restart()
-    await until(lambda: len(dropped) == WARM)
-    await until(lambda: len(pool.idle) == WARM)
+    await wait_until(lambda: len(dropped) == WARM)
+    await wait_until(lambda: len(pool.idle) == WARM)
     assert closed.isdisjoint(pool.idle)
     assert not pinged
 
 
-async def test_a_closed_connection_is_never_handed_out(
+async def test_closed_connection_is_not_reused(
     endpoint: Endpoint, server: BackendServer, dropped: list[str]
 ) -> None:
     pool = ServerPool(endpoint, 2, 0, lambda server, why: dropped.append(why))
     first = await pool.acquire(2.0)
-    assert isinstance(first, ServerLink)
+    assert isinstance(first, ServerConnection)
     pool.release(first)
     await server.stop()
     await server.restart()
-    await until(lambda: first.ended)
+    await wait_until(lambda: first.ended)
     second = await pool.acquire(2.0)
-    assert isinstance(second, ServerLink)
+    assert isinstance(second, ServerConnection)
     assert second is not first
     assert dropped == ["lost"]
     pool.release(second)
--- a/packages/jackdawcrank-proxy/tests/execution/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/execution/conftest.py
@@ -13,14 +13,14 @@
 
 from jackdawcrank.backend.answer import (
     ErrorAnswer,
-    LinkAnswer,
     LostAnswer,
     OkAnswer,
     Row,
     RowsAnswer,
+    ServerAnswer,
 )
 from jackdawcrank.backend.endpoint import Endpoint
-from jackdawcrank.backend.server_link import ServerLink
+from jackdawcrank.backend.server_connection import ServerConnection
 from jackdawcrank.execution.home_group import HomeGroup
 from jackdawcrank_policy.lease import LeaseTable
 from jackdawcrank_policy.values import (
@@ -103,7 +103,7 @@
         return queued.popleft() if queued else "ok"
 
 
-class FakeLink(ServerLink):
+class FakeLink(ServerConnection):
     """A connection to the fake backend."""
 
     def __init__(self, server: str, backend: FakeBackend) -> None:
@@ -131,7 +131,9 @@
         self.dirty = False
         return self.usable
 
-    async def run(self, sql: str | bytes, timeout_seconds: float) -> LinkAnswer:
+    async def run(
+        self, sql: str | bytes, timeout_seconds: float
+    ) -> ServerAnswer:
         text = sql if isinstance(sql, str) else sql.decode()
         if not self.usable:
             return LostAnswer(False, "the connection is closed")
@@ -145,7 +147,7 @@
         finally:
             self.running -= 1
 
-    async def serve(self, sql: str) -> LinkAnswer:
+    async def serve(self, sql: str) -> ServerAnswer:
         step = step_of(sql)
         response = self.backend.response(step)
         if response == "lost_before_sent":
@@ -175,7 +177,7 @@
             return LostAnswer(True, response)
         return answer
 
-    def apply(self, step: str, sql: str) -> LinkAnswer:
+    def apply(self, step: str, sql: str) -> ServerAnswer:
         backend = self.backend
         match step:
             case "begin":
@@ -207,7 +209,7 @@
                 return self.write(sql)
         return OkAnswer()
 
-    def write(self, sql: str) -> LinkAnswer:
+    def write(self, sql: str) -> ServerAnswer:
         self.pending.append(sql)
         if self.in_transaction and "CALL" not in sql:
             return OkAnswer(affected_rows=1)
@@ -325,7 +327,7 @@
             backend.links.append(link)
             return link
 
-        monkeypatch.setattr(ServerLink, "open", connect)
+        monkeypatch.setattr(ServerConnection, "open", connect)
         leases = LeaseTable("vm1", renewed_at=math.inf)
         group = HomeGroup(
             "vm1",
--- a/packages/jackdawcrank-proxy/tests/groups/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/groups/conftest.py
@@ -1,4 +1,4 @@
-"""Three servers and three homes in memory, on a loop whose time jumps."""
+"""In-memory cluster of three servers and three homes on virtual time."""
 
 import asyncio
 import functools
@@ -37,24 +37,24 @@
 SERVERS = ("s1", "s2", "s3")
 HOMES = ("vm1", "vm2", "vm3")
 LATENCY_SECONDS = 0.005
-HEAD_SECONDS = 1.0
+FOLLOW_INTERVAL_SECONDS = 1.0
 SPEC = GroupSpec(GROUP)
 
 
 @attrs.define(eq=False)
 class FakeServer:
-    """One server as one home sees it."""
+    """One server from the view of one home."""
 
     vm: str
     model: ModelServer
-    world: "World"
+    cluster: "SimulatedCluster"
     name: str = ""
 
     async def ask(self, act: Callable[[], Any], timeout_seconds: float) -> Any:
         await asyncio.sleep(LATENCY_SECONDS)
-        if self.name in self.world.refusing:
+        if self.name in self.cluster.refusing:
             return Unreachable("connection refused")
-        if not self.world.reaches(self.vm, self.name):
+        if not self.cluster.reaches(self.vm, self.name):
             await asyncio.sleep(timeout_seconds)
             return Unreachable("no answer in time")
         answer = act()
@@ -92,7 +92,7 @@
 
 @attrs.define(eq=False)
 class FakeStore:
-    """The group's row, with outages."""
+    """A store of the group's row that can be made unavailable."""
 
     row: GroupRow | None = None
     version: int = 0
@@ -125,16 +125,17 @@
 
 
 @attrs.define(eq=False)
-class World:
-    """The homes' agents and what they share.
+class SimulatedCluster:
+    """The agents of the homes and their shared state.
 
-    Homes do not reach servers over links that are `cut`, and no place reaches
-    one on another of the `sides`; the store is on side 0.
+    A home cannot reach a server if the pair is in `broken_links`. VMs and
+    servers reach each other only within a network partition, which
+    `partition_of` gives by name; the store and all others are in partition 0.
     """
 
     store: FakeStore = attrs.field(factory=FakeStore)
-    cut: set[tuple[str, str]] = attrs.field(factory=set)
-    sides: dict[str, int] = attrs.field(factory=dict)
+    broken_links: set[tuple[str, str]] = attrs.field(factory=set)
+    partition_of: dict[str, int] = attrs.field(factory=dict)
     refusing: set[str] = attrs.field(factory=set)
     stopped: set[str] = attrs.field(factory=set)
     events: list[tuple[str, str, dict[str, object]]] = attrs.field(factory=list)
@@ -152,13 +153,15 @@
             await self.timers[vm].start()
             await self.agents[vm].start()
             self.timers[vm].subscribe(
-                "head", HEAD_SECONDS, functools.partial(self.follow, vm)
+                "head",
+                FOLLOW_INTERVAL_SECONDS,
+                functools.partial(self.follow, vm),
             )
         await asyncio.sleep(3.0)
 
     async def follow(self, vm: str, now: float) -> None:
-        """Read the row as the change log's follower does."""
-        if self.sides.get(vm):
+        """Read the row and renew leases, as the change log's follower does."""
+        if self.partition_of.get(vm):
             return
         if self.store.row is not None and not self.store.down:
             self.agents[vm].row_changed(self.store.row, self.store.version)
@@ -174,7 +177,7 @@
                 name: FakeServer(vm, model, self, name)
                 for name, model in self.servers.items()
             },
-            FakeStoreLink(self, vm),
+            HomeStoreClient(self, vm),
             FakePeers(self, vm),
             self.leases[vm],
             lambda kind, **detail: self.events.append((vm, kind, detail)),
@@ -183,7 +186,7 @@
         )
 
     async def stop(self, vm: str) -> None:
-        """End a home as a crash does."""
+        """Stop a home as a crash does."""
         self.stopped.add(vm)
         await self.agents[vm].close()
         await self.timers[vm].close()
@@ -193,28 +196,33 @@
             await self.stop(vm)
 
     def cut_off(self, server: str, *homes: str) -> None:
-        self.cut.update((home, server) for home in homes or HOMES)
+        self.broken_links.update((home, server) for home in homes or HOMES)
 
     async def claimed(self, term: int) -> None:
-        """Wait until a term is claimed in the store."""
+        """Wait until a term or a later one is claimed in the store."""
         claimed = asyncio.Event()
         self.store.claims.append((term, claimed))
         await claimed.wait()
 
     def reaches(self, source: str, target: str) -> bool:
-        if target in self.refusing or (source, target) in self.cut:
+        if target in self.refusing or (source, target) in self.broken_links:
             return False
-        return self.sides.get(source, 0) == self.sides.get(target, 0)
+        return self.partition_of.get(source, 0) == self.partition_of.get(
+            target, 0
+        )
 
     def replicate(self, name: str) -> None:
-        """Let a replica pull from the primary that it knows."""
+        """Make a replica pull from the primary that was announced to it."""
         server = self.servers[name]
         leader = self.servers.get(server.primary)
         if leader is not None and self.reaches(name, leader.name):
             server.pull(leader)
 
     def write(self, vm: str, write_id: str) -> int | None:
-        """Write through a home; return the term that acknowledged it."""
+        """Write through a home and return the term that acknowledged it.
+
+        Returns None if the write is not acknowledged.
+        """
         row = self.leases[vm].rows.get(GROUP)
         if row is None or not self.reaches(vm, row.primary):
             return None
@@ -239,7 +247,7 @@
         )
         return row.term if isinstance(verdict, Done) else None
 
-    def told(self, kind: str) -> list[dict[str, object]]:
+    def events_named(self, kind: str) -> list[dict[str, object]]:
         return [detail for _, one, detail in self.events if one == kind]
 
     @property
@@ -250,18 +258,18 @@
 
 @attrs.define(eq=False)
 class FakePeers:
-    """The other homes' agents."""
+    """Requests of one home to the agents of the others."""
 
-    world: World
+    cluster: SimulatedCluster
     vm: str
 
     async def find(self, vm: str, timeout_seconds: float) -> GroupAgent | None:
         await asyncio.sleep(LATENCY_SECONDS)
-        stopped = {vm, self.vm} & self.world.stopped
-        if stopped or not self.world.reaches(self.vm, vm):
+        stopped = {vm, self.vm} & self.cluster.stopped
+        if stopped or not self.cluster.reaches(self.vm, vm):
             await asyncio.sleep(timeout_seconds)
             return None
-        return self.world.agents[vm]
+        return self.cluster.agents[vm]
 
     async def give_up_lease(
         self, vm: str, group: str, term: int, timeout_seconds: float
@@ -285,44 +293,44 @@
 
 
 @attrs.define(eq=False)
-class FakeStoreLink:
-    """The store as one home reaches it."""
+class HomeStoreClient:
+    """Access of one home to the store."""
 
-    world: World
+    cluster: SimulatedCluster
     vm: str
 
     async def claim(
         self, expected: GroupRow | None, new: GroupRow
     ) -> Stored | Conflict | StoreUnavailable:
-        if self.world.sides.get(self.vm):
+        if self.cluster.partition_of.get(self.vm):
             return StoreUnavailable("no answer in time")
-        return await self.world.store.claim(expected, new)
+        return await self.cluster.store.claim(expected, new)
 
     async def prepare(self, group: str) -> None:
-        self.world.store.prepared += 1
+        self.cluster.store.prepared += 1
 
     async def read(self, group: str) -> GroupRow | None | StoreUnavailable:
-        if self.world.sides.get(self.vm):
+        if self.cluster.partition_of.get(self.vm):
             return StoreUnavailable("no answer in time")
-        return await self.world.store.read(group)
+        return await self.cluster.store.read(group)
 
 
-Scenario = Callable[[World], Coroutine[Any, Any, None]]
+Scenario = Callable[[SimulatedCluster], Coroutine[Any, Any, None]]
 
 
 @pytest.fixture
-def play() -> Callable[..., World]:
-    """Return a function that runs a scenario on a started world."""
+def run_scenario() -> Callable[..., SimulatedCluster]:
+    """Return a function that starts a cluster and runs a scenario on it."""
 
-    def run(scenario: Scenario, spec: GroupSpec = SPEC) -> World:
-        world = World()
+    def run(scenario: Scenario, spec: GroupSpec = SPEC) -> SimulatedCluster:
+        cluster = SimulatedCluster()
 
-        async def whole() -> None:
-            await world.start(spec)
-            await scenario(world)
-            await world.close()
+        async def run_to_end() -> None:
+            await cluster.start(spec)
+            await scenario(cluster)
+            await cluster.close()
 
-        run_virtual(whole())
-        return world
+        run_virtual(run_to_end())
+        return cluster
 
     return run
--- a/packages/jackdawcrank-proxy/tests/groups/test_quick_group_rows.py
+++ b/packages/jackdawcrank-proxy/tests/groups/test_prefetched_group_rows.py
@@ -1,10 +1,10 @@
-"""Claims with few calls, also when answers are lost."""
+"""Tests of the number of store calls per claim and of lost answers."""
 
 import attrs
 import pytest
 
 from jackdawcrank.groups.group_store import Conflict, Stored
-from jackdawcrank.groups.quick_group_rows import QuickGroupRows
+from jackdawcrank.groups.prefetched_group_rows import PrefetchedGroupRows
 from jackdawcrank.store.change_log import ChangeLog
 from jackdawcrank.store.group_rows import GroupRows
 from jackdawcrank.store.outcome import (
@@ -24,12 +24,12 @@
 
 @attrs.define
 class FakeTables:
-    """Tables that count calls and may lose the answers of some."""
+    """Tables that count calls and can lose answers to transactions."""
 
     rows: dict[tuple[str, str], Row] = attrs.field(factory=dict)
     gets: int = 0
     transactions: int = 0
-    lose: set[int] = attrs.field(factory=set)
+    lost_transactions: set[int] = attrs.field(factory=set)
 
     async def get(self, table: str, key: str) -> Row | Absent:
         self.gets += 1
@@ -51,7 +51,7 @@
             version = row.version + 1 if row else 1
             self.rows[put.table, put.key] = Row(put.key, put.value, version)
             versions[f"{put.table}/{put.key}"] = version
-        if self.transactions in self.lose:
+        if self.transactions in self.lost_transactions:
             return StoreUnavailable(maybe_applied=True)
         return Committed(versions)
 
@@ -62,13 +62,13 @@
 
 
 @pytest.fixture
-def rows(tables: FakeTables) -> QuickGroupRows:
+def rows(tables: FakeTables) -> PrefetchedGroupRows:
     log = ChangeLog(tables)  # type: ignore[arg-type]
-    return QuickGroupRows(GroupRows(tables, log, "vm1"))  # type: ignore[arg-type]
+    return PrefetchedGroupRows(GroupRows(tables, log, "vm1"))  # type: ignore[arg-type]
 
 
-async def test_an_opening_takes_one_call(
-    tables: FakeTables, rows: QuickGroupRows
+async def test_opening_after_claim_takes_one_call(
+    tables: FakeTables, rows: PrefetchedGroupRows
 ) -> None:
     assert await rows.claim(None, CLAIMED) == Stored(1)
     assert (tables.gets, tables.transactions) == (2, 1)
@@ -78,7 +78,7 @@
 
 
 async def test_a_prepared_claim_takes_one_call(
-    tables: FakeTables, rows: QuickGroupRows
+    tables: FakeTables, rows: PrefetchedGroupRows
 ) -> None:
     await rows.prepare("ledger")
     gets = tables.gets
@@ -86,8 +86,8 @@
     assert (tables.gets, tables.transactions) == (gets, 1)
 
 
-async def test_another_change_between_is_found(
-    tables: FakeTables, rows: QuickGroupRows
+async def test_change_of_another_group_in_between_is_retried(
+    tables: FakeTables, rows: PrefetchedGroupRows
 ) -> None:
     await rows.claim(None, CLAIMED)
     other = GroupRows(tables, rows.rows.change_log, "vm2")  # type: ignore[arg-type]
@@ -97,8 +97,8 @@
     assert await rows.claim(CLAIMED, OPENED) == Stored(3)
 
 
-async def test_a_row_that_another_vm_took_conflicts(
-    tables: FakeTables, rows: QuickGroupRows
+async def test_row_claimed_by_another_vm_conflicts(
+    tables: FakeTables, rows: PrefetchedGroupRows
 ) -> None:
     await rows.claim(None, CLAIMED)
     other = GroupRows(tables, rows.rows.change_log, "vm2")  # type: ignore[arg-type]
@@ -107,10 +107,10 @@
     assert await rows.claim(CLAIMED, OPENED) == Conflict(taken)
 
 
-async def test_lost_answers_are_settled_with_their_version(
-    tables: FakeTables, rows: QuickGroupRows
+async def test_lost_answers_resolve_to_stored_version(
+    tables: FakeTables, rows: PrefetchedGroupRows
 ) -> None:
-    tables.lose = {1, 2}
+    tables.lost_transactions = {1, 2}
     assert await rows.claim(None, CLAIMED) == Stored(1)
     assert await rows.claim(CLAIMED, OPENED) == Stored(2)
     assert await rows.read("ledger") == OPENED
