--- a/packages/jackdawcrank-proxy/src/jackdawcrank/commands/demo.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/commands/demo.py
@@ -15,9 +15,9 @@
 LAG_SECONDS = 0.3
 CATCH_UP_SECONDS = 1.0
 # Homes that have just begun wait out leases that others may hold.
-SETTLE_SECONDS = 4.0
-WRITE_PAUSE_SECONDS = 0.02
-GAP_LIMIT_SECONDS = 20.0
+LEASE_EXPIRY_SECONDS = 4.0
+WRITE_RETRY_SECONDS = 0.02
+STEP_TIMEOUT_SECONDS = 20.0
 EXIT_OK = 0
 EXIT_FAILED = 1
 
@@ -58,7 +58,7 @@
 
     async def run(self) -> None:
         """Run all steps."""
-        self.tell("3 proxies, 3 backend servers, replicas lag by 300 ms")
+        self.report_step("3 proxies, 3 backend servers, replicas lag by 300 ms")
         token = await self.write_and_read_back()
         await self.read_from_replica(token)
         await self.replace_primary(token)
@@ -78,21 +78,21 @@
             "/*request_id='booking-1'*/",
         )
         ((token,),) = await run(first, "SELECT @@session_token")
-        self.tell("wrote on vm1 with request id booking-1")
+        self.report_step("wrote on vm1 with request id booking-1")
         second = await self.connect("vm2")
         rows = await run(
             second, f"SELECT id, state FROM pallets /*session='{token}'*/"
         )
-        expect(rows == ((1, "broken"),), f"vm2 read {rows}")
-        self.tell(f"read the own write on vm2 with the token: {rows}")
+        require(rows == ((1, "broken"),), f"vm2 read {rows}")
+        self.report_step(f"read the own write on vm2 with the token: {rows}")
         await run(
             second,
             "INSERT INTO pallets (state) VALUES ('broken') "
             "/*request_id='booking-1'*/",
         )
         ((count,),) = await run(second, "SELECT COUNT(*) FROM pallets")
-        expect(count == 1, f"the repeat made {count} rows")
-        self.tell("repeated booking-1 on vm2: still one row")
+        require(count == 1, f"the repeat made {count} rows")
+        self.report_step("repeated booking-1 on vm2: still one row")
         return str(token)
 
     async def read_from_replica(self, token: str) -> None:
@@ -103,20 +103,22 @@
         await run(caller, "SELECT COUNT(*) FROM pallets /*max_age_ms='5000'*/")
         await run(caller, f"SELECT COUNT(*) FROM pallets /*session='{token}'*/")
         served = self.replica_reads() - before
-        expect(served == 2, f"replicas served {served} of 2 reads")
-        self.tell("a read up to 5 s old and a token read: both from replicas")
+        require(served == 2, f"replicas served {served} of 2 reads")
+        self.report_step(
+            "a read up to 5 s old and a token read: both from replicas"
+        )
 
     async def replace_primary(self, token: str) -> None:
         """Cut the primary off and measure the gap for writes."""
-        await asyncio.sleep(SETTLE_SECONDS)
+        await asyncio.sleep(LEASE_EXPIRY_SECONDS)
         primary = self.system.primary_of(GROUP)
         self.system.groups[GROUP].partition(primary)
-        cut_at = time.monotonic()
-        gap = await self.first_write_after(cut_at)
-        now_leads = self.system.primary_of(GROUP)
-        expect(now_leads != primary, "the primary was not replaced")
-        self.tell(
-            f"cut {primary} off; {now_leads} took over, "
+        partitioned_at = time.monotonic()
+        gap = await self.first_write_after(partitioned_at)
+        new_primary = self.system.primary_of(GROUP)
+        require(new_primary != primary, "the primary was not replaced")
+        self.report_step(
+            f"cut {primary} off; {new_primary} took over, "
             f"writes were back after {gap:.2f} s"
         )
         caller = await self.connect("vm2")
@@ -124,14 +126,14 @@
             caller,
             f"SELECT state FROM pallets WHERE id = 1 /*session='{token}'*/",
         )
-        expect(rows == (("broken",),), f"after the change: {rows}")
-        self.tell("the write from before is still there for its token")
+        require(rows == (("broken",),), f"after the change: {rows}")
+        self.report_step("the write from before is still there for its token")
         self.system.groups[GROUP].heal(primary)
 
     async def first_write_after(self, started: float) -> float:
         """Return the seconds until a write is acknowledged."""
         number = 0
-        while time.monotonic() - started < GAP_LIMIT_SECONDS:
+        while time.monotonic() - started < STEP_TIMEOUT_SECONDS:
             number += 1
             try:
                 caller = await self.connect("vm1")
@@ -142,7 +144,7 @@
                 )
                 return time.monotonic() - started
             except (MySQLError, OSError):
-                await asyncio.sleep(WRITE_PAUSE_SECONDS)
+                await asyncio.sleep(WRITE_RETRY_SECONDS)
         raise DemoFailed("no write was acknowledged after the cut")
 
     async def drain_proxy(self) -> None:
@@ -155,11 +157,13 @@
         await asyncio.sleep(0.2)
         await run(caller, "UPDATE pallets SET state = 'gone' WHERE id = 1")
         await run(caller, "COMMIT")
-        await asyncio.wait_for(proxy.stopped.wait(), GAP_LIMIT_SECONDS)
+        await asyncio.wait_for(proxy.stopped.wait(), STEP_TIMEOUT_SECONDS)
         other = await self.connect("vm1")
         rows = await run(other, "SELECT state FROM pallets WHERE id = 1")
-        expect(rows == (("gone",),), f"after the drain: {rows}")
-        self.tell("drained vm3 in the middle of a transaction: it committed")
+        require(rows == (("gone",),), f"after the drain: {rows}")
+        self.report_step(
+            "drained vm3 in the middle of a transaction: it committed"
+        )
 
     async def connect(self, vm: str) -> Any:
         """Return a connection of a caller to a proxy."""
@@ -182,7 +186,7 @@
             for home in proxy.registry.homes.values()
         )
 
-    def tell(self, text: str) -> None:
+    def report_step(self, text: str) -> None:
         """Print a step."""
         self.number += 1
         click.echo(f"{self.number}. {text}")
@@ -200,12 +204,12 @@
         return await cursor.fetchall()
 
 
-def expect(shown: bool, detail: str) -> None:
-    """Fail the demo unless something was shown.
+def require(condition: bool, detail: str) -> None:
+    """Raise DemoFailed unless a condition holds.
 
     Args:
-      shown: Whether it was.
+      condition: Whether the step succeeded.
       detail: What was seen instead.
     """
-    if not shown:
+    if not condition:
         raise DemoFailed(detail)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/commands/embedded.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/commands/embedded.py
@@ -40,13 +40,13 @@
     stop = stop_event()
     await system.start()
     if ready_file is not None:
-        _write_whole(ready_file, json.dumps(system.describe(), indent=2))
+        _write_atomically(ready_file, json.dumps(system.describe(), indent=2))
     await stop.wait()
     await system.drain()
     return EXIT_OK
 
 
-def _write_whole(path: pathlib.Path, text: str) -> None:
+def _write_atomically(path: pathlib.Path, text: str) -> None:
     """Write a file so that a reader never sees a part of it."""
     partial = path.with_name(path.name + ".partial")
     partial.write_text(text + "\n", encoding="utf-8")
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/commands/run.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/commands/run.py
@@ -9,7 +9,7 @@
 from jackdawcrank_wire.settings import Settings
 
 EXIT_OK = 0
-EXIT_NO_PORT = 3
+EXIT_CANNOT_LISTEN = 3
 
 
 async def run_proxy(settings: Settings) -> int:
@@ -28,15 +28,15 @@
     except OSError as error:
         logging.error("cannot listen: %s", error)
         await proxy.close()
-        return EXIT_NO_PORT
+        return EXIT_CANNOT_LISTEN
     logging.info("ready vm=%s port=%d", settings.vm, proxy.front.port)
-    waits = [
+    tasks = [
         asyncio.create_task(stop.wait()),
         asyncio.create_task(proxy.stopped.wait()),
     ]
-    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     await proxy.drain("signal")
     await proxy.stopped.wait()
-    for wait in waits:
+    for wait in tasks:
         wait.cancel()
     return EXIT_OK
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/embedded_system.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/embedded_system.py
@@ -20,7 +20,7 @@
 from jackdawcrank_wire.settings import CallerLogin, Settings
 
 HOST = "127.0.0.1"
-READY_SECONDS = 30.0
+READY_TIMEOUT_SECONDS = 30.0
 DATA_CENTERS = ("north-1", "north-2", "south-1")
 
 
@@ -37,7 +37,9 @@
     def __init__(self, options: EmbeddedOptions | None = None) -> None:
         self.options = options or EmbeddedOptions()
         self.platform = Platform()
-        self.groups = {name: self._group(name) for name in self.options.groups}
+        self.groups = {
+            name: self._make_group(name) for name in self.options.groups
+        }
         self.proxies: dict[str, Proxy] = {}
 
     async def start(self) -> None:
@@ -48,8 +50,8 @@
             self.platform.board.add_group(group)
         for number in range(1, self.options.vms + 1):
             await self.start_proxy(f"vm{number}")
-        await self._declare()
-        async with asyncio.timeout(READY_SECONDS):
+        await self._append_resources()
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             await self.wait_ready()
 
     async def close(self) -> None:
@@ -79,11 +81,11 @@
         Args:
           vm: The VM's name.
         """
-        settings = self._settings(vm)
+        settings = self._make_settings(vm)
         proxy = Proxy(settings)
         await proxy.start()
         self.proxies[vm] = proxy
-        listed = Vm(
+        listed_vm = Vm(
             vm,
             HOST,
             proxy.peer_server.port,
@@ -91,7 +93,7 @@
             settings.region,
             settings.data_center,
         )
-        self.platform.list_vm(listed)
+        self.platform.list_vm(listed_vm)
         return proxy
 
     async def wait_ready(self) -> None:
@@ -155,7 +157,7 @@
             for server in group.servers.values()
         ]
 
-    def _group(self, name: str) -> BackendGroup:
+    def _make_group(self, name: str) -> BackendGroup:
         options = self.options
         group = BackendGroup(name)
         for number in range(1, options.servers_per_group + 1):
@@ -170,7 +172,7 @@
             )
         return group
 
-    def _settings(self, vm: str) -> Settings:
+    def _make_settings(self, vm: str) -> Settings:
         number = int(vm.removeprefix("vm"))
         data_center = DATA_CENTERS[(number - 1) % len(DATA_CENTERS)]
         return Settings(
@@ -190,7 +192,7 @@
             backend_password=BACKEND_PASSWORD,
         )
 
-    async def _declare(self) -> None:
+    async def _append_resources(self) -> None:
         for name, group in self.groups.items():
             await self._append(
                 Kind.DATABASE_GROUP,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/__init__.py
@@ -5,15 +5,15 @@
     ActionDone,
     ActionOutcome,
     ActionRefused,
-    NoSuchTarget,
     OperatorPorts,
+    TargetNotFound,
 )
 
 __all__ = [
     "ActionDone",
     "ActionOutcome",
     "ActionRefused",
-    "NoSuchTarget",
+    "TargetNotFound",
     "OperatorApi",
     "OperatorPorts",
 ]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/action_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/action_handlers.py
@@ -4,18 +4,18 @@
 
 from aiohttp import web
 
-from jackdawcrank.operators.action_answers import action_answer
+from jackdawcrank.operators.action_responses import action_response
 from jackdawcrank.operators.auth import ACTOR
 from jackdawcrank.operators.bodies import json_body
-from jackdawcrank.operators.forward import FORWARDED, forward
-from jackdawcrank.operators.ports import OperatorPorts
-from jackdawcrank.operators.problem_answer import (
+from jackdawcrank.operators.error_responses import (
     BAD_REQUEST,
     UNAVAILABLE,
-    error_answer,
-    missing_answer,
+    error_response,
+    not_found_response,
 )
-from jackdawcrank.operators.promotions import move_primary_away, promote
+from jackdawcrank.operators.forward import FORWARDED_HEADER, forward
+from jackdawcrank.operators.ports import OperatorPorts
+from jackdawcrank.operators.promotions import promote, replace_leaving_primary
 from jackdawcrank.operators.writes import WriteRequest, write
 from jackdawcrank_policy.configuration import Kind
 from jackdawcrank_policy.values import ServerState
@@ -42,7 +42,7 @@
         """Begin a promotion, to the server that the body may name."""
         name = request.match_info["name"]
         if name not in self.ports.follower.configuration.groups:
-            return missing_answer(f"DatabaseGroup {name}")
+            return not_found_response(f"DatabaseGroup {name}")
         body = await json_body(request)
         if isinstance(body, web.Response):
             return body
@@ -51,13 +51,13 @@
         force = document.get("force", False)
         if not isinstance(force, bool):
             message = "force must be true or false"
-            return error_answer(BAD_REQUEST, "malformed", message)
+            return error_response(BAD_REQUEST, "malformed", message)
         if server is not None and not isinstance(server, str):
             message = "server must be the name of a BackendServer"
-            return error_answer(BAD_REQUEST, "malformed", message)
+            return error_response(BAD_REQUEST, "malformed", message)
         if server is not None and not self.is_member(server, name):
             hint = f"jackdawcrankctl describe DatabaseGroup {name}"
-            return missing_answer(f"server {server} in group {name}", hint)
+            return not_found_response(f"server {server} in group {name}", hint)
         return await promote(self.ports, request, name, server, force)
 
     def is_member(self, server: str, group: str) -> bool:
@@ -69,11 +69,11 @@
         """Begin the graceful shutdown of a VM, this one or another."""
         name = request.match_info["name"]
         if name == self.ports.vm:
-            return action_answer(await self.ports.drain_self(request[ACTOR]))
+            return action_response(await self.ports.drain_self(request[ACTOR]))
         vm = self.ports.members().vms.get(name)
-        if vm is None or FORWARDED in request.headers:
+        if vm is None or FORWARDED_HEADER in request.headers:
             hint = "jackdawcrankctl status lists the VMs"
-            return missing_answer(f"VM {name}", hint)
+            return not_found_response(f"VM {name}", hint)
         return await forward(request, vm, f"/v1/vms/{name}/drain")
 
     async def drain_server(self, request: web.Request) -> web.Response:
@@ -83,8 +83,8 @@
         entry = self.ports.follower.configuration.entries.get((kind, name))
         if entry is None:
             hint = f"jackdawcrankctl get {kind} lists what there is"
-            return missing_answer(f"{kind} {name}", hint)
-        refusal = await move_primary_away(self.ports, request, name)
+            return not_found_response(f"{kind} {name}", hint)
+        refusal = await replace_leaving_primary(self.ports, request, name)
         if refusal is not None:
             return refusal
         state = str(ServerState.LEAVING)
@@ -100,11 +100,11 @@
             request.match_info["id"],
         )
         if group not in self.ports.follower.configuration.groups:
-            return missing_answer(f"DatabaseGroup {group}")
+            return not_found_response(f"DatabaseGroup {group}")
         outcome = await self.ports.request_outcome(group, request_id)
         if outcome is None:
             hint = "it did not run, or its record has been removed"
-            return missing_answer(f"record of request {request_id}", hint)
+            return not_found_response(f"record of request {request_id}", hint)
         return web.json_response(dict(outcome))
 
     async def status(self, request: web.Request) -> web.Response:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/api.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/api.py
@@ -14,9 +14,9 @@
 from jackdawcrank.operators.watch import WatchHandler
 from jackdawcrank_wire.resources.openapi import openapi_document
 
-SHUTDOWN_SECONDS = 2.0
-KEEPALIVE_SECONDS = 30.0
-MAX_LINE_BYTES = 8190
+SHUTDOWN_TIMEOUT_SECONDS = 2.0
+KEEPALIVE_TIMEOUT_SECONDS = 30.0
+MAX_HEADER_LINE_BYTES = 8190
 
 
 class OperatorApi:
@@ -57,20 +57,20 @@
             middlewares=[require_token(self.tokens)],  # type: ignore[list-item]
         )
         app.add_routes([web.get("/v1/openapi.json", self.openapi)])
-        for part in (
+        for handler in (
             ActionHandlers(self.ports),
             WatchHandler(self.ports, self.closing),
             TimelineHandler(self.ports, self.closing),
             ResourceHandlers(self.ports),
         ):
-            app.add_routes(part.routes())
+            app.add_routes(handler.routes())
         self.runner = web.AppRunner(
             app,
             access_log=None,
-            keepalive_timeout=KEEPALIVE_SECONDS,
-            max_line_size=MAX_LINE_BYTES,
-            max_field_size=MAX_LINE_BYTES,
-            shutdown_timeout=SHUTDOWN_SECONDS,
+            keepalive_timeout=KEEPALIVE_TIMEOUT_SECONDS,
+            max_line_size=MAX_HEADER_LINE_BYTES,
+            max_field_size=MAX_HEADER_LINE_BYTES,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS,
         )
         await self.runner.setup()
         site = web.TCPSite(self.runner, self.host, self.port)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/auth.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/auth.py
@@ -5,31 +5,31 @@
 
 from aiohttp import web
 
-from jackdawcrank.operators.problem_answer import UNAUTHORIZED, error_answer
+from jackdawcrank.operators.error_responses import UNAUTHORIZED, error_response
 
 ACTOR = web.RequestKey("actor", str)
 SCHEME = "Bearer "
 DEFAULT_ACTOR = "operator"
 ACTOR_HEADER = "Jackdawcrank-Actor"
 MAX_ACTOR_CHARACTERS = 64
-OPEN_PATHS = ("/v1/ready",)
+UNAUTHENTICATED_PATHS = ("/v1/ready",)
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-def matching_token(tokens: Sequence[str], given: str) -> str | None:
+def matching_token(tokens: Sequence[str], presented_token: str) -> str | None:
     """Return the token that was given; None if it is none of them.
 
     Every token is compared in full, in constant time.
     """
-    found = None
+    matched_token = None
     for token in tokens:
-        if hmac.compare_digest(token.encode(), given.encode()):
-            found = token
-    return found
+        if hmac.compare_digest(token.encode(), presented_token.encode()):
+            matched_token = token
+    return matched_token
 
 
-def actor_of(token: str, request: web.Request) -> str:
+def actor_name(token: str, request: web.Request) -> str:
     """Return who holds a token.
 
     A token `NAME:SECRET` names its holder; with another one the client says
@@ -38,8 +38,8 @@
     name, separator, _ = token.partition(":")
     if separator and name:
         return name
-    claimed = request.headers.get(ACTOR_HEADER, "").strip()
-    printable = claimed if claimed.isprintable() else ""
+    header_value = request.headers.get(ACTOR_HEADER, "").strip()
+    printable = header_value if header_value.isprintable() else ""
     return printable[:MAX_ACTOR_CHARACTERS] or DEFAULT_ACTOR
 
 
@@ -54,21 +54,23 @@
     async def middleware(
         request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        if request.path in OPEN_PATHS:
+        if request.path in UNAUTHENTICATED_PATHS:
             return await handler(request)
         header = request.headers.get("Authorization", "")
-        given = header.removeprefix(SCHEME) if SCHEME in header else ""
-        token = matching_token(tokens, given)
+        presented_token = (
+            header.removeprefix(SCHEME) if SCHEME in header else ""
+        )
+        token = matching_token(tokens, presented_token)
         if token is None:
-            answer = error_answer(
+            response = error_response(
                 UNAUTHORIZED,
                 "unauthorized",
                 "a valid bearer token is required",
                 "send the header Authorization: Bearer TOKEN",
             )
-            answer.headers["WWW-Authenticate"] = "Bearer"
-            return answer
-        request[ACTOR] = actor_of(token, request)
+            response.headers["WWW-Authenticate"] = "Bearer"
+            return response
+        request[ACTOR] = actor_name(token, request)
         return await handler(request)
 
     return middleware
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/bodies.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/bodies.py
@@ -6,37 +6,41 @@
 
 from aiohttp import web
 
-from jackdawcrank.operators.problem_answer import (
+from jackdawcrank.operators.error_responses import (
     BAD_REQUEST,
     TOO_LARGE,
-    error_answer,
+    error_response,
 )
 
 MAX_BODY_BYTES = 64 * 1024
-BODY_SECONDS = 10.0
+BODY_TIMEOUT_SECONDS = 10.0
 
 
 async def json_body(request: web.Request) -> Any | web.Response:
     """Return a request's JSON value, or the answer that refuses it."""
     try:
-        async with asyncio.timeout(BODY_SECONDS):
+        async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
             text = await request.read()
     except web.HTTPRequestEntityTooLarge:
-        return error_answer(
+        return error_response(
             TOO_LARGE, "too_large", f"a body has at most {MAX_BODY_BYTES} bytes"
         )
     except TimeoutError:
-        return error_answer(
-            BAD_REQUEST, "timeout", f"the body took over {BODY_SECONDS} s"
+        return error_response(
+            BAD_REQUEST,
+            "timeout",
+            f"the body took over {BODY_TIMEOUT_SECONDS} s",
         )
     try:
         return json.loads(text) if text else {}
     except (ValueError, RecursionError) as error:
         message = f"the body is not JSON: {error}"
-        return error_answer(BAD_REQUEST, "malformed", message)
+        return error_response(BAD_REQUEST, "malformed", message)
 
 
-def whole_number(request: web.Request, name: str, default: int) -> int | None:
+def integer_parameter(
+    request: web.Request, name: str, default: int
+) -> int | None:
     """Return a query parameter as a number; None if it is none."""
     text = request.query.get(name, "")
     if not text:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/problem_answer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/error_responses.py
@@ -18,12 +18,12 @@
 UNAVAILABLE = 503
 
 
-def error_answer(
+def error_response(
     status: int,
     code: str,
     message: str,
     hint: str = "",
-    **more: Any,
+    **extra_fields: Any,
 ) -> web.Response:
     """Return an error answer.
 
@@ -32,18 +32,20 @@
       code: A word for programs.
       message: What is wrong.
       hint: What to do about it.
-      **more: Further JSON values.
+      **extra_fields: Further JSON values.
     """
     error: dict[str, Any] = {"code": code, "message": message}
     if hint:
         error["hint"] = hint
-    return web.json_response({"error": {**error, **more}}, status=status)
+    return web.json_response(
+        {"error": {**error, **extra_fields}}, status=status
+    )
 
 
-def invalid_answer(problems: Iterable[Problem]) -> web.Response:
+def invalid_resource_response(problems: Iterable[Problem]) -> web.Response:
     """Return the answer to an invalid resource."""
     listed = [problem_document(problem) for problem in problems]
-    return error_answer(
+    return error_response(
         INVALID,
         "invalid",
         "the resource is not valid",
@@ -61,7 +63,9 @@
     }
 
 
-def unavailable_answer(maybe_applied: bool, detail: str) -> web.Response:
+def store_unavailable_response(
+    maybe_applied: bool, detail: str
+) -> web.Response:
     """Return the answer when the store can't be reached."""
     if maybe_applied:
         message = f"the change may have been made; {detail}"
@@ -69,7 +73,7 @@
     else:
         message = f"the change was not made; {detail}"
         hint = "try again once the store answers"
-    return error_answer(
+    return error_response(
         UNAVAILABLE,
         "store_unavailable",
         message,
@@ -78,6 +82,6 @@
     )
 
 
-def missing_answer(what: str, hint: str = "") -> web.Response:
+def not_found_response(what: str, hint: str = "") -> web.Response:
     """Return the answer about something that does not exist."""
-    return error_answer(NOT_FOUND, "not_found", f"there is no {what}", hint)
+    return error_response(NOT_FOUND, "not_found", f"there is no {what}", hint)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/forward.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/forward.py
@@ -5,12 +5,12 @@
 import aiohttp
 from aiohttp import web
 
-from jackdawcrank.operators.problem_answer import UNAVAILABLE, error_answer
+from jackdawcrank.operators.error_responses import UNAVAILABLE, error_response
 from jackdawcrank_policy.values import Vm
 
-FORWARDED = "Jackdawcrank-Forwarded"
-FORWARD_SECONDS = 10.0
-PASSED_ON = ("Authorization", "Jackdawcrank-Actor")
+FORWARDED_HEADER = "Jackdawcrank-Forwarded"
+FORWARD_TIMEOUT_SECONDS = 10.0
+COPIED_HEADERS = ("Authorization", "Jackdawcrank-Actor")
 
 
 async def forward(
@@ -18,20 +18,20 @@
 ) -> web.Response:
     """Pass an action on to another VM's resource API."""
     url = f"http://{vm.host}:{vm.operator_port}{path}"
-    headers = {FORWARDED: "1"}
-    for name in PASSED_ON:
+    headers = {FORWARDED_HEADER: "1"}
+    for name in COPIED_HEADERS:
         if name in request.headers:
             headers[name] = request.headers[name]
-    limit = aiohttp.ClientTimeout(total=FORWARD_SECONDS)
+    client_timeout = aiohttp.ClientTimeout(total=FORWARD_TIMEOUT_SECONDS)
     try:
         async with (
-            aiohttp.ClientSession(timeout=limit) as session,
+            aiohttp.ClientSession(timeout=client_timeout) as session,
             session.post(url, json=body, headers=headers) as response,
         ):
             document = await response.json()
             return web.json_response(document, status=response.status)
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
-        return error_answer(
+        return error_response(
             UNAVAILABLE,
             "unreachable",
             f"VM {vm.name} can't be reached: {type(error).__name__}",
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/ports.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/ports.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class NoSuchTarget:
+class TargetNotFound:
     """What the action was about does not exist.
 
     Attributes:
@@ -45,7 +45,7 @@
     detail: str
 
 
-ActionOutcome = ActionDone | ActionRefused | NoSuchTarget
+ActionOutcome = ActionDone | ActionRefused | TargetNotFound
 
 
 class OperatorPorts(Protocol):
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/preconditions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/preconditions.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Expected:
+class ExpectedVersion:
     """The resource version that a write requires.
 
     Attributes:
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class MalformedCondition:
+class MalformedPrecondition:
     """The condition can't be understood.
 
     Attributes:
@@ -32,7 +32,7 @@
 
 def expected_version(
     request: web.Request, document: Any = None
-) -> Expected | MalformedCondition:
+) -> ExpectedVersion | MalformedPrecondition:
     """Return what a write requires by its headers or its document.
 
     Args:
@@ -41,15 +41,15 @@
       document: The resource; its `resourceVersion` counts without a header.
     """
     if request.headers.get("If-None-Match", "").strip() == "*":
-        return Expected(ABSENT)
+        return ExpectedVersion(ABSENT)
     text = request.headers.get("If-Match", "").strip()
     if not text and isinstance(document, dict):
         version = document.get("resourceVersion")
-        return Expected(version if type(version) is int else None)
+        return ExpectedVersion(version if type(version) is int else None)
     if text in ("", "*"):
-        return Expected(None)
+        return ExpectedVersion(None)
     digits = text.removeprefix('"').removesuffix('"')
     if not digits.isdecimal():
         message = f"If-Match must be a resource version, but is {text[:40]!r}"
-        return MalformedCondition(message)
-    return Expected(int(digits))
+        return MalformedPrecondition(message)
+    return ExpectedVersion(int(digits))
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/promotions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/promotions.py
@@ -2,15 +2,15 @@
 
 from aiohttp import web
 
-from jackdawcrank.operators.action_answers import action_answer
+from jackdawcrank.operators.action_responses import action_response
 from jackdawcrank.operators.auth import ACTOR
-from jackdawcrank.operators.forward import FORWARDED, forward
-from jackdawcrank.operators.ports import OperatorPorts
-from jackdawcrank.operators.problem_answer import (
+from jackdawcrank.operators.error_responses import (
     BAD_REQUEST,
     UNAVAILABLE,
-    missing_answer,
+    not_found_response,
 )
+from jackdawcrank.operators.forward import FORWARDED_HEADER, forward
+from jackdawcrank.operators.ports import OperatorPorts
 from jackdawcrank_policy.budget import writer_names
 from jackdawcrank_policy.values import Vm
 
@@ -31,24 +31,24 @@
       server: The new primary; None leaves the choice to the system.
       force: Whether to do so with too few servers in reach.
     """
-    homes = homes_of(ports, group)
-    if not homes or ports.vm in homes or FORWARDED in request.headers:
+    homes = reachable_homes(ports, group)
+    if not homes or ports.vm in homes or FORWARDED_HEADER in request.headers:
         actor = request[ACTOR]
         outcome = await ports.promote(group, server, actor, force)
-        return action_answer(outcome)
+        return action_response(outcome)
     path = f"/v1/groups/{group}/promote"
     body: dict[str, object] = {"force": force}
     if server is not None:
         body["server"] = server
-    answer = missing_answer(f"home of group {group} in reach")
+    response = not_found_response(f"home of group {group} in reach")
     for vm in homes.values():
-        answer = await forward(request, vm, path, body)
-        if answer.status != UNAVAILABLE:
+        response = await forward(request, vm, path, body)
+        if response.status != UNAVAILABLE:
             break
-    return answer
+    return response
 
 
-async def move_primary_away(
+async def replace_leaving_primary(
     ports: OperatorPorts, request: web.Request, server: str
 ) -> web.Response | None:
     """Have another server made primary if the given one is.
@@ -62,14 +62,14 @@
       The refusal if the primary can't be moved; None if the server is no
       primary any more.
     """
-    group = primary_of(ports, server)
+    group = group_with_primary(ports, server)
     if group is None:
         return None
-    answer = await promote(ports, request, group, None)
-    return answer if answer.status >= BAD_REQUEST else None
+    response = await promote(ports, request, group, None)
+    return response if response.status >= BAD_REQUEST else None
 
 
-def homes_of(ports: OperatorPorts, group: str) -> dict[str, Vm]:
+def reachable_homes(ports: OperatorPorts, group: str) -> dict[str, Vm]:
     """Return the living home proxies of a group with their addresses."""
     row = ports.follower.configuration.group_rows.get(group)
     names = writer_names(row.writers) if row is not None else ()
@@ -77,7 +77,7 @@
     return {name: vms[name] for name in names if name in vms}
 
 
-def primary_of(ports: OperatorPorts, server: str) -> str | None:
+def group_with_primary(ports: OperatorPorts, server: str) -> str | None:
     """Return the group whose primary a server is; None if of none."""
     configuration = ports.follower.configuration
     spec = configuration.servers.get(server)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/resource_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/resource_handlers.py
@@ -5,24 +5,24 @@
 from jackdawcrank.operators.auth import ACTOR
 from jackdawcrank.operators.bodies import json_body
 from jackdawcrank.operators.documents import resource_view
+from jackdawcrank.operators.error_responses import (
+    BAD_REQUEST,
+    error_response,
+    invalid_resource_response,
+    not_found_response,
+)
 from jackdawcrank.operators.ports import OperatorPorts
 from jackdawcrank.operators.preconditions import (
-    MalformedCondition,
+    MalformedPrecondition,
     expected_version,
 )
-from jackdawcrank.operators.problem_answer import (
-    BAD_REQUEST,
-    error_answer,
-    invalid_answer,
-    missing_answer,
-)
-from jackdawcrank.operators.promotions import move_primary_away
+from jackdawcrank.operators.promotions import replace_leaving_primary
 from jackdawcrank.operators.writes import (
     WriteRequest,
     missing_reference,
+    resource_response,
     row_body,
     still_referenced,
-    view,
     write,
 )
 from jackdawcrank_policy.configuration import Kind
@@ -72,7 +72,7 @@
     async def get(self, request: web.Request) -> web.Response:
         """Show one resource."""
         kind, name = identity(request)
-        return view(self.ports, kind, name)
+        return resource_response(self.ports, kind, name)
 
     async def put(self, request: web.Request) -> web.Response:
         """Create or change a resource."""
@@ -82,13 +82,13 @@
             return document
         resource = parse_resource(document)
         if isinstance(resource, Invalid):
-            return invalid_answer(resource.problems)
+            return invalid_resource_response(resource.problems)
         if (resource.kind, resource.name) != (kind, name):
             message = f"the body is {resource.kind} {resource.name}"
-            return error_answer(BAD_REQUEST, "wrong_path", message)
+            return error_response(BAD_REQUEST, "wrong_path", message)
         expected = expected_version(request, document)
-        if isinstance(expected, MalformedCondition):
-            return error_answer(BAD_REQUEST, "malformed", expected.detail)
+        if isinstance(expected, MalformedPrecondition):
+            return error_response(BAD_REQUEST, "malformed", expected.detail)
         follower = self.ports.follower
         if missing_reference(resource, follower.configuration) is not None:
             await follower.read()
@@ -96,10 +96,10 @@
         if refusal is not None:
             return refusal
         entry = follower.configuration.entries.get((kind, name))
-        present = entry.version if entry is not None else 0
-        as_expected = expected.version in (None, present)
-        if as_expected and declares_leaving(resource):
-            refusal = await move_primary_away(self.ports, request, name)
+        current_version = entry.version if entry is not None else 0
+        version_matches = expected.version in (None, current_version)
+        if version_matches and declares_leaving(resource):
+            refusal = await replace_leaving_primary(self.ports, request, name)
             if refusal is not None:
                 return refusal
         body = row_body(resource)
@@ -112,12 +112,12 @@
         """Delete a resource."""
         kind, name = identity(request)
         expected = expected_version(request)
-        if isinstance(expected, MalformedCondition):
-            return error_answer(BAD_REQUEST, "malformed", expected.detail)
+        if isinstance(expected, MalformedPrecondition):
+            return error_response(BAD_REQUEST, "malformed", expected.detail)
         await self.ports.follower.read()
         configuration = self.ports.follower.configuration
         if (kind, name) not in configuration.entries:
-            return missing_answer(f"{kind} {name}")
+            return not_found_response(f"{kind} {name}")
         refusal = still_referenced(kind, name, configuration)
         if refusal is not None:
             return refusal
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/timeline_handler.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/timeline_handler.py
@@ -6,10 +6,10 @@
 import attrs
 from aiohttp import web
 
-from jackdawcrank.operators.bodies import whole_number
+from jackdawcrank.operators.bodies import integer_parameter
+from jackdawcrank.operators.error_responses import BAD_REQUEST, error_response
 from jackdawcrank.operators.ports import OperatorPorts
-from jackdawcrank.operators.problem_answer import BAD_REQUEST, error_answer
-from jackdawcrank.operators.watch import LINES
+from jackdawcrank.operators.watch import NDJSON_HEADERS
 from jackdawcrank.timeline import EventSubscription
 from jackdawcrank_wire.events import TimelineEvent, to_json_lines
 
@@ -32,7 +32,7 @@
     after: float = float("-inf")
     before: float = float("inf")
 
-    def wants(self, event: TimelineEvent) -> bool:
+    def matches(self, event: TimelineEvent) -> bool:
         """Return whether an event is wanted."""
         if self.group and event.group != self.group:
             return False
@@ -55,51 +55,53 @@
     async def timeline(self, request: web.Request) -> web.StreamResponse:
         """Send the events above the sequence number in `since`."""
         timeline = self.ports.timeline
-        since = whole_number(request, "since", 0)
-        wanted = event_filter(request)
-        if since is None or wanted is None:
+        since = integer_parameter(request, "since", 0)
+        event_filter = parse_event_filter(request)
+        if since is None or event_filter is None:
             message = "since, after and before must be numbers"
-            return error_answer(BAD_REQUEST, "malformed", message)
+            return error_response(BAD_REQUEST, "malformed", message)
         if request.query.get("boot", timeline.boot) != timeline.boot:
             since = 0
-        follower = timeline.follow() if request.query.get("follow") else None
-        kept = timeline.since(since)
+        subscription = (
+            timeline.follow() if request.query.get("follow") else None
+        )
+        retained = timeline.since(since)
         headers = {
-            **LINES,
+            **NDJSON_HEADERS,
             "Jackdawcrank-Vm": timeline.vm,
             "Jackdawcrank-Boot": timeline.boot,
-            "Jackdawcrank-Dropped": str(kept.dropped),
+            "Jackdawcrank-Dropped": str(retained.dropped),
         }
         response = web.StreamResponse(headers=headers)
         try:
             await response.prepare(request)
-            await send_events(response, kept.events, wanted)
-            if follower is not None:
-                await self.follow(response, follower, wanted)
+            await send_events(response, retained.events, event_filter)
+            if subscription is not None:
+                await self.follow(response, subscription, event_filter)
         except ConnectionError:
             pass
         finally:
-            if follower is not None:
-                follower.close()
+            if subscription is not None:
+                subscription.close()
         return response
 
     async def follow(
         self,
         response: web.StreamResponse,
-        follower: EventSubscription,
-        wanted: EventFilter,
+        subscription: EventSubscription,
+        event_filter: EventFilter,
     ) -> None:
         """Send events as they are recorded, until shutdown."""
-        ending = asyncio.ensure_future(self.closing.wait())
-        ending.add_done_callback(lambda _: follower.close())
+        closing_task = asyncio.ensure_future(self.closing.wait())
+        closing_task.add_done_callback(lambda _: subscription.close())
         try:
-            async for event in follower:
-                await send_events(response, [event], wanted)
+            async for event in subscription:
+                await send_events(response, [event], event_filter)
         finally:
-            ending.cancel()
+            closing_task.cancel()
 
 
-def event_filter(request: web.Request) -> EventFilter | None:
+def parse_event_filter(request: web.Request) -> EventFilter | None:
     """Return the filter in a query; None if it is malformed."""
     query = request.query
     try:
@@ -116,10 +118,10 @@
 async def send_events(
     response: web.StreamResponse,
     events: Sequence[TimelineEvent],
-    wanted: EventFilter,
+    event_filter: EventFilter,
 ) -> None:
     """Send the wanted ones of some events."""
-    chosen = [event for event in events if wanted.wants(event)]
-    for start in range(0, len(chosen), EVENTS_PER_WRITE):
-        part = chosen[start : start + EVENTS_PER_WRITE]
-        await response.write(to_json_lines(part).encode())
+    matching_events = [event for event in events if event_filter.matches(event)]
+    for start in range(0, len(matching_events), EVENTS_PER_WRITE):
+        batch = matching_events[start : start + EVENTS_PER_WRITE]
+        await response.write(to_json_lines(batch).encode())
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/watch.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/watch.py
@@ -7,26 +7,26 @@
 
 from aiohttp import web
 
-from jackdawcrank.operators.bodies import whole_number
+from jackdawcrank.operators.bodies import integer_parameter
 from jackdawcrank.operators.documents import change_view
-from jackdawcrank.operators.ports import OperatorPorts
-from jackdawcrank.operators.problem_answer import (
+from jackdawcrank.operators.error_responses import (
     BAD_REQUEST,
     GONE,
-    error_answer,
-    unavailable_answer,
+    error_response,
+    store_unavailable_response,
 )
+from jackdawcrank.operators.ports import OperatorPorts
 from jackdawcrank.store import StoreUnavailable
 from jackdawcrank.store.change_reader import read_changes
 from jackdawcrank_policy.configuration import Change
 
-BOOKMARK_SECONDS = 10.0
+BOOKMARK_INTERVAL_SECONDS = 10.0
 MAX_WATCHES = 200
-LINES = {"Content-Type": "application/x-ndjson"}
+NDJSON_HEADERS = {"Content-Type": "application/x-ndjson"}
 
 
 @dataclasses.dataclass(frozen=True)
-class Forgotten:
+class ChangesTrimmed:
     """The change that follows a version is no longer kept."""
 
 
@@ -42,11 +42,11 @@
         self,
         ports: OperatorPorts,
         closing: asyncio.Event,
-        bookmark_seconds: float = BOOKMARK_SECONDS,
+        bookmark_interval_seconds: float = BOOKMARK_INTERVAL_SECONDS,
     ) -> None:
         self.ports = ports
         self.closing = closing
-        self.bookmark_seconds = bookmark_seconds
+        self.bookmark_interval_seconds = bookmark_interval_seconds
         self.watches = 0
 
     def routes(self) -> list[web.RouteDef]:
@@ -56,23 +56,23 @@
     async def watch(self, request: web.Request) -> web.StreamResponse:
         """Stream the changes above the version in `from`."""
         follower = self.ports.follower
-        version = whole_number(request, "from", follower.version)
+        version = integer_parameter(request, "from", follower.version)
         if version is None:
             message = "from must be a version, a whole number"
-            return error_answer(BAD_REQUEST, "malformed", message)
+            return error_response(BAD_REQUEST, "malformed", message)
         if self.watches >= MAX_WATCHES:
             message = f"{MAX_WATCHES} watches are open on this VM"
-            return error_answer(BAD_REQUEST, "too_many", message)
-        first = await self.changes_after(version)
-        if isinstance(first, StoreUnavailable):
-            return unavailable_answer(False, first.detail)
-        if isinstance(first, Forgotten):
-            return gone(version, follower.floor)
-        response = web.StreamResponse(headers=LINES)
+            return error_response(BAD_REQUEST, "too_many", message)
+        first_changes = await self.changes_after(version)
+        if isinstance(first_changes, StoreUnavailable):
+            return store_unavailable_response(False, first_changes.detail)
+        if isinstance(first_changes, ChangesTrimmed):
+            return gone_response(version, follower.floor)
+        response = web.StreamResponse(headers=NDJSON_HEADERS)
         await response.prepare(request)
         self.watches += 1
         try:
-            await self.stream(response, version, first)
+            await self.stream(response, version, first_changes)
         except ConnectionError:
             pass
         finally:
@@ -90,51 +90,51 @@
             for change in changes:
                 await send_line(response, change_view(change))
                 version = change.version
-            if not changes and not await self.newer_than(version):
+            if not changes and not await self.wait_for_newer(version):
                 if self.closing.is_set():
                     return
                 bookmark = {"version": version, "bookmark": True}
                 await send_line(response, bookmark)
-            following = await self.changes_after(version)
-            if isinstance(following, Forgotten | StoreUnavailable):
+            next_changes = await self.changes_after(version)
+            if isinstance(next_changes, ChangesTrimmed | StoreUnavailable):
                 return
-            changes = following
+            changes = next_changes
 
-    async def newer_than(self, version: int) -> bool:
+    async def wait_for_newer(self, version: int) -> bool:
         """Wait a while for a version above the given one."""
-        waits = (
+        tasks = (
             asyncio.ensure_future(self.ports.follower.wait_above(version)),
             asyncio.ensure_future(self.closing.wait()),
         )
         try:
             await asyncio.wait(
-                waits,
-                timeout=self.bookmark_seconds,
+                tasks,
+                timeout=self.bookmark_interval_seconds,
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            for wait in waits:
+            for wait in tasks:
                 wait.cancel()
         return self.ports.follower.version > version
 
     async def changes_after(
         self, version: int
-    ) -> Sequence[Change] | Forgotten | StoreUnavailable:
+    ) -> Sequence[Change] | ChangesTrimmed | StoreUnavailable:
         """Return the changes above a version, in order and without gaps."""
-        known = self.ports.follower.state.changes_after(version)
-        if known is not None:
-            return known
+        recent_changes = self.ports.follower.state.changes_after(version)
+        if recent_changes is not None:
+            return recent_changes
         read = await read_changes(self.ports.store, version)
         if isinstance(read, StoreUnavailable):
             return read
         if not read or read[0].version != version + 1:
-            return Forgotten()
+            return ChangesTrimmed()
         return read
 
 
-def gone(version: int, floor: int) -> web.Response:
+def gone_response(version: int, floor: int) -> web.Response:
     """Return the answer to a watch from a version that is too old."""
-    return error_answer(
+    return error_response(
         GONE,
         "gone",
         f"the changes that follow version {version} are no longer kept",
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/writes.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/writes.py
@@ -9,14 +9,14 @@
 from aiohttp import web
 
 from jackdawcrank.operators.documents import differences, resource_view
-from jackdawcrank.operators.ports import OperatorPorts
-from jackdawcrank.operators.problem_answer import (
+from jackdawcrank.operators.error_responses import (
     CONFLICT,
     PRECONDITION_FAILED,
-    error_answer,
-    missing_answer,
-    unavailable_answer,
+    error_response,
+    not_found_response,
+    store_unavailable_response,
 )
+from jackdawcrank.operators.ports import OperatorPorts
 from jackdawcrank.store import (
     Appended,
     ChangeConflict,
@@ -32,7 +32,7 @@
     to_json_value,
 )
 
-IN_FORCE_HERE_SECONDS = 2.0
+LOCAL_APPLY_TIMEOUT_SECONDS = 2.0
 
 
 @attrs.frozen
@@ -63,19 +63,19 @@
         request.expected,
         request.actor,
     )
-    return await answer(outcome, ports, request)
+    return await write_response(outcome, ports, request)
 
 
 @functools.singledispatch
-async def answer(
+async def write_response(
     outcome: object, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
     """Return the answer to a write with some outcome."""
     raise TypeError(f"not an outcome: {outcome!r}")
 
 
-@answer.register
-async def answer_appended(
+@write_response.register
+async def appended_response(
     outcome: Appended, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
     """Return the answer to a change that was made."""
@@ -85,21 +85,25 @@
         resource=f"{request.kind}/{request.name}",
         actor=request.actor,
     )
-    await in_force_here(ports, outcome.version)
-    return success(request, outcome.version, request.actor, changed=True)
+    await wait_until_applied(ports, outcome.version)
+    return success_response(
+        request, outcome.version, request.actor, changed=True
+    )
 
 
-@answer.register
-async def answer_unchanged(
+@write_response.register
+async def unchanged_response(
     outcome: Unchanged, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
     """Return the answer to a change that had been made before."""
-    await in_force_here(ports, outcome.version)
-    return success(request, outcome.version, outcome.actor, changed=False)
+    await wait_until_applied(ports, outcome.version)
+    return success_response(
+        request, outcome.version, outcome.actor, changed=False
+    )
 
 
-@answer.register
-async def answer_conflict(
+@write_response.register
+async def conflict_response(
     outcome: ChangeConflict, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
     """Return the answer that tells who else changed what."""
@@ -111,7 +115,7 @@
     )
     label = f"{request.kind} {request.name}"
     if outcome.current is None:
-        return error_answer(
+        return error_response(
             PRECONDITION_FAILED,
             "conflict",
             f"{label} does not exist any more, or not yet",
@@ -120,7 +124,7 @@
         )
     changed = await changed_since(ports, request, outcome)
     author = outcome.actor or "somebody"
-    return error_answer(
+    return error_response(
         PRECONDITION_FAILED,
         "conflict",
         f"{label} was changed by {author} to version {outcome.version}",
@@ -133,12 +137,12 @@
     )
 
 
-@answer.register
-async def answer_unavailable(
+@write_response.register
+async def unavailable_write_response(
     outcome: StoreUnavailable, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
     """Return the answer to a write that the store did not settle."""
-    return unavailable_answer(outcome.maybe_applied, outcome.detail)
+    return store_unavailable_response(outcome.maybe_applied, outcome.detail)
 
 
 async def changed_since(
@@ -154,16 +158,16 @@
     return list(differences(before, conflict.current.get("spec", {})))
 
 
-async def in_force_here(ports: OperatorPorts, version: int) -> None:
+async def wait_until_applied(ports: OperatorPorts, version: int) -> None:
     """Wait for a version, so that this proxy's next answer shows it."""
     try:
-        async with asyncio.timeout(IN_FORCE_HERE_SECONDS):
+        async with asyncio.timeout(LOCAL_APPLY_TIMEOUT_SECONDS):
             await ports.follower.read_up_to(version)
     except TimeoutError:
         return
 
 
-def success(
+def success_response(
     request: WriteRequest, version: int, actor: str, changed: bool
 ) -> web.Response:
     """Return the answer to a write that stands."""
@@ -196,7 +200,7 @@
         return None
     if spec.group in configuration.groups:
         return None
-    return error_answer(
+    return error_response(
         CONFLICT,
         "missing_reference",
         f"spec.group: there is no DatabaseGroup {spec.group}",
@@ -213,7 +217,7 @@
     servers = [server.name for server in configuration.servers_of(name)]
     if not servers:
         return None
-    return error_answer(
+    return error_response(
         CONFLICT,
         "still_referenced",
         f"DatabaseGroup {name} has the servers {', '.join(servers)}",
@@ -221,12 +225,14 @@
     )
 
 
-def view(ports: OperatorPorts, kind: Kind, name: str) -> web.Response:
+def resource_response(
+    ports: OperatorPorts, kind: Kind, name: str
+) -> web.Response:
     """Return the answer that shows a resource."""
     entry = ports.follower.configuration.entries.get((kind, name))
     if entry is None:
         hint = f"jackdawcrankctl get {kind} lists what there is"
-        return missing_answer(f"{kind} {name}", hint)
+        return not_found_response(f"{kind} {name}", hint)
     status = ports.resource_status(kind, name)
     document = resource_view(kind, name, entry, status)
     headers = {"ETag": f'"{entry.version}"'}
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/operator_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/operator_service.py
@@ -11,7 +11,7 @@
     ActionDone,
     ActionOutcome,
     ActionRefused,
-    NoSuchTarget,
+    TargetNotFound,
 )
 from jackdawcrank.process.entry_router import EntryRouter
 from jackdawcrank.process.home import Home
@@ -167,7 +167,7 @@
 
     def _elsewhere(self, group: str) -> ActionOutcome:
         if group not in self.registry.configuration.groups:
-            return NoSuchTarget(f"no database group {group!r} is declared")
+            return TargetNotFound(f"no database group {group!r} is declared")
         row = self.registry.configuration.group_rows.get(group)
         homes = ", ".join(writer_names(row.writers)) if row else "none yet"
         return ActionRefused(
--- a/packages/jackdawcrank-proxy/tests/operators/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/operators/conftest.py
@@ -92,7 +92,7 @@
 @pytest.fixture
 async def proxies(platform: Platform) -> AsyncIterator[list[Proxy]]:
     limits = StoreLimits(per_second=1e6, burst=1e6, retry_seconds=0.0)
-    made: list[Proxy] = []
+    created: list[Proxy] = []
     for vm in ("vm-1", "vm-2"):
         rng = random.Random(vm)
         store = StoreClient(platform.url, rng=rng, limits=limits)
@@ -100,15 +100,16 @@
         follower = ConfigurationFollower(store, ManualTimer(), rng=rng)
         log = ChangeLog(store, rng=rng, append_seconds=0.3)
         ports = Ports(vm, store, log, follower, Timeline(vm, f"boot-{vm}"))
-        made.append(Proxy(ports, OperatorApi("127.0.0.1", 0, TOKENS, ports)))
-    for proxy in made:
+        created.append(Proxy(ports, OperatorApi("127.0.0.1", 0, TOKENS, ports)))
+    for proxy in created:
         await proxy.api.start()
-    for proxy in made:
+    for proxy in created:
         proxy.ports.vms = {
-            p.ports.vm: Vm(p.ports.vm, "127.0.0.1", 1, p.api.port) for p in made
+            p.ports.vm: Vm(p.ports.vm, "127.0.0.1", 1, p.api.port)
+            for p in created
         }
-    yield made
-    for proxy in made:
+    yield created
+    for proxy in created:
         await proxy.api.close()
         await proxy.ports.store.close()
 
--- a/packages/jackdawcrank-proxy/tests/operators/test_actions.py
+++ b/packages/jackdawcrank-proxy/tests/operators/test_actions.py
@@ -32,20 +32,20 @@
 async def post(
     http: aiohttp.ClientSession, path: str, body: Any = None
 ) -> tuple[int, Any]:
-    async with http.post(path, json=body) as answer:
-        return answer.status, await answer.json()
+    async with http.post(path, json=body) as response:
+        return response.status, await response.json()
 
 
-async def test_a_promotion_is_passed_on_and_a_refusal_told(
+async def test_promotion_is_started_and_refusal_is_reported(
     http: aiohttp.ClientSession, proxy: Any
 ) -> None:
     path = "/v1/groups/g/promote"
-    status, answer = await post(http, path, {"server": "s-1"})
-    assert (status, answer["term"]) == (200, 2)
+    status, response = await post(http, path, {"server": "s-1"})
+    assert (status, response["term"]) == (200, 2)
     assert proxy.ports.promoted == [("g", "s-1", "ada")]
-    status, answer = await post(http, path)
+    status, response = await post(http, path)
     assert status == 409
-    assert answer["error"]["retryAfterMs"] == 500
+    assert response["error"]["retryAfterMs"] == 500
 
 
 @pytest.mark.parametrize(
@@ -59,15 +59,15 @@
         ("/v1/servers/s-9/drain", None, 404),
     ],
 )
-async def test_a_wrong_target_is_refused(
+async def test_invalid_action_target_is_refused(
     http: aiohttp.ClientSession, path: str, body: Any, expected: int
 ) -> None:
-    status, answer = await post(http, path, body)
+    status, response = await post(http, path, body)
     assert status == expected
-    assert answer["error"]["message"]
+    assert response["error"]["message"]
 
 
-async def test_a_drain_reaches_the_vm_it_names(
+async def test_drain_reaches_the_named_vm(
     http: aiohttp.ClientSession, proxies: list[Any]
 ) -> None:
     assert (await post(http, "/v1/vms/vm-1/drain"))[0] == 200
@@ -75,16 +75,16 @@
     assert [p.ports.drained for p in proxies] == [["ada"], ["ada"]]
 
 
-async def test_a_vm_that_cannot_be_reached_is_told(
+async def test_unreachable_vm_is_reported(
     http: aiohttp.ClientSession, proxies: list[Any]
 ) -> None:
     await proxies[1].api.close()
-    status, answer = await post(http, "/v1/vms/vm-2/drain")
+    status, response = await post(http, "/v1/vms/vm-2/drain")
     assert status == 503
-    assert "vm-2" in answer["error"]["message"]
+    assert "vm-2" in response["error"]["message"]
 
 
-async def test_draining_a_server_declares_it_leaving_once(
+async def test_draining_a_server_twice_changes_it_once(
     http: aiohttp.ClientSession, proxy: Any
 ) -> None:
     first = await post(http, "/v1/servers/s-1/drain")
@@ -106,29 +106,29 @@
         await proxy.ports.follower.read()
 
 
-async def test_a_promotion_is_forwarded_to_a_home(
+async def test_promotion_is_forwarded_to_a_reachable_home(
     http: aiohttp.ClientSession, proxies: list[Any]
 ) -> None:
     await add_row(proxies, ("vm-gone", "vm-2"))
     path = "/v1/groups/g/promote"
-    status, answer = await post(http, path, {"server": "s-1"})
-    assert (status, answer["term"]) == (200, 2)
+    status, response = await post(http, path, {"server": "s-1"})
+    assert (status, response["term"]) == (200, 2)
     assert proxies[0].ports.promoted == []
     assert proxies[1].ports.promoted == [("g", "s-1", "ada")]
     assert (await post(http, path))[0] == 409
 
 
-async def test_homes_that_cannot_be_reached_are_told(
+async def test_unreachable_homes_are_reported(
     http: aiohttp.ClientSession, proxies: list[Any]
 ) -> None:
     await add_row(proxies, ("vm-2",))
     await proxies[1].api.close()
-    status, answer = await post(http, "/v1/groups/g/promote")
+    status, response = await post(http, "/v1/groups/g/promote")
     assert status == 503
-    assert "vm-2" in answer["error"]["message"]
+    assert "vm-2" in response["error"]["message"]
 
 
-async def test_a_leaving_primary_is_replaced_before_it_is_declared(
+async def test_drained_primary_is_replaced_before_its_state_changes(
     http: aiohttp.ClientSession, proxies: list[Any]
 ) -> None:
     await add_row(proxies, ("vm-1",))
@@ -138,56 +138,56 @@
     assert ports.follower.configuration.servers["s-1"].state == "leaving"
 
 
-async def test_a_primary_that_is_declared_as_leaving_is_replaced_first(
+async def test_put_of_leaving_state_replaces_the_primary_first(
     http: aiohttp.ClientSession, proxies: list[Any]
 ) -> None:
     await add_row(proxies, ("vm-1",))
     ports = proxies[0].ports
     path = "/v1/BackendServer/s-1"
-    async with http.get(path) as answer:
-        document = await answer.json()
+    async with http.get(path) as response:
+        document = await response.json()
     document["spec"] = {"group": "g", "host": "10.0.0.1", "port": 3306}
-    async with http.put(path, json=document) as answer:
-        assert answer.status == 200
+    async with http.put(path, json=document) as response:
+        assert response.status == 200
     assert ports.promoted == []
     document["spec"]["state"] = "leaving"
     document["resourceVersion"] = 1
-    async with http.put(path, json=document) as answer:
-        assert answer.status == 412
+    async with http.put(path, json=document) as response:
+        assert response.status == 412
     assert ports.promoted == []
     document["resourceVersion"] = ports.follower.version
-    async with http.put(path, json=document) as answer:
-        assert answer.status == 200
+    async with http.put(path, json=document) as response:
+        assert response.status == 200
     assert ports.promoted == [("g", None, "ada")]
 
 
-async def test_a_primary_that_cannot_be_replaced_stays(
+async def test_primary_that_cannot_be_replaced_keeps_serving(
     http: aiohttp.ClientSession, proxies: list[Any]
 ) -> None:
     await add_row(proxies, ("vm-1",))
     ports = proxies[0].ports
     ports.promoted.append(("g", None, "ben"))
-    status, answer = await post(http, "/v1/servers/s-1/drain")
+    status, response = await post(http, "/v1/servers/s-1/drain")
     assert status == 409
-    assert "under way" in answer["error"]["message"]
+    assert "under way" in response["error"]["message"]
     assert ports.follower.configuration.servers["s-1"].state == "serving"
 
 
-async def test_what_became_of_a_request_is_told(
+async def test_request_outcome_is_returned(
     http: aiohttp.ClientSession,
 ) -> None:
-    async with http.get("/v1/requests/g/r-1") as answer:
-        assert await answer.json() == {"state": "done"}
+    async with http.get("/v1/requests/g/r-1") as response:
+        assert await response.json() == {"state": "done"}
     for path in ("/v1/requests/g/r-2", "/v1/requests/none/r-1"):
-        async with http.get(path) as answer:
-            assert answer.status == 404
+        async with http.get(path) as response:
+            assert response.status == 404
 
 
-async def test_the_status_names_vms_and_version(
+async def test_status_lists_vms_and_configuration_version(
     http: aiohttp.ClientSession,
 ) -> None:
-    async with http.get("/v1/status") as answer:
-        status = await answer.json()
+    async with http.get("/v1/status") as response:
+        status = await response.json()
     assert status["configurationVersion"] == 2
     assert [vm["name"] for vm in status["vms"]] == ["vm-1", "vm-2"]
 
@@ -195,12 +195,12 @@
 async def events(
     http: aiohttp.ClientSession, **query: str
 ) -> tuple[list[dict[str, Any]], Any]:
-    async with http.get("/v1/timeline", params=query) as answer:
-        lines = (await answer.text()).splitlines()
-        return [json.loads(line) for line in lines], answer.headers
+    async with http.get("/v1/timeline", params=query) as response:
+        lines = (await response.text()).splitlines()
+        return [json.loads(line) for line in lines], response.headers
 
 
-async def test_the_time_line_is_filtered(
+async def test_timeline_is_filtered(
     http: aiohttp.ClientSession, proxy: Any
 ) -> None:
     timeline = proxy.ports.timeline
@@ -214,11 +214,11 @@
     assert len((await events(http, after="15", before="25"))[0]) == 1
     assert len((await events(http, since="2"))[0]) == 1
     assert len((await events(http, since="2", boot="another"))[0]) == 3
-    async with http.get("/v1/timeline?since=x") as answer:
-        assert answer.status == 400
+    async with http.get("/v1/timeline?since=x") as response:
+        assert response.status == 400
 
 
-async def test_lost_events_are_counted(
+async def test_dropped_timeline_events_are_counted(
     http: aiohttp.ClientSession, proxy: Any
 ) -> None:
     timeline = proxy.ports.timeline
@@ -229,16 +229,16 @@
     assert headers["Jackdawcrank-Boot"] == "boot-vm-1"
 
 
-async def test_the_time_line_is_followed_until_shutdown(
+async def test_timeline_is_followed_until_shutdown(
     http: aiohttp.ClientSession, proxy: Any
 ) -> None:
     timeline = proxy.ports.timeline
     timeline.record(EventKind.LEASE_LOST, "g", 1)
-    async with http.get("/v1/timeline?follow=1") as answer:
-        first = json.loads(await answer.content.readline())
+    async with http.get("/v1/timeline?follow=1") as response:
+        first = json.loads(await response.content.readline())
         timeline.record(EventKind.LEASE_GAINED, "g", 2)
-        second = json.loads(await answer.content.readline())
+        second = json.loads(await response.content.readline())
         assert (first["sequence"], second["sequence"]) == (1, 2)
         await proxy.api.close()
-        assert await answer.content.read() == b""
+        assert await response.content.read() == b""
     assert timeline.subscriptions == []
--- a/packages/jackdawcrank-proxy/tests/operators/test_resources.py
+++ b/packages/jackdawcrank-proxy/tests/operators/test_resources.py
@@ -37,31 +37,31 @@
     **headers: str,
 ) -> tuple[int, Any]:
     named = {name.replace("_", "-"): value for name, value in headers.items()}
-    async with http.put(path, json=document, headers=named) as answer:
-        return answer.status, await answer.json()
+    async with http.put(path, json=document, headers=named) as response:
+        return response.status, await response.json()
 
 
 async def get(http: aiohttp.ClientSession, path: str) -> tuple[int, Any]:
-    async with http.get(path) as answer:
-        return answer.status, await answer.json()
+    async with http.get(path) as response:
+        return response.status, await response.json()
 
 
-async def test_a_resource_is_created_shown_and_listed(
+async def test_resource_is_created_returned_and_listed(
     http: aiohttp.ClientSession,
 ) -> None:
-    status, made = await put(http, GROUP, group(3))
-    assert (status, made["resourceVersion"]) == (200, 1)
-    assert made["changed"]
-    async with http.get(GROUP) as answer:
-        shown = await answer.json()
-        assert answer.headers["ETag"] == '"1"'
+    status, created = await put(http, GROUP, group(3))
+    assert (status, created["resourceVersion"]) == (200, 1)
+    assert created["changed"]
+    async with http.get(GROUP) as response:
+        shown = await response.json()
+        assert response.headers["ETag"] == '"1"'
     assert shown["spec"]["slotsPerServer"] == 3
     assert shown["status"]["changedBy"] == "ada"
-    _, listed = await get(http, "/v1/DatabaseGroup")
-    assert listed == {"version": 1, "items": [shown]}
+    _, listing = await get(http, "/v1/DatabaseGroup")
+    assert listing == {"version": 1, "items": [shown]}
 
 
-async def test_a_repeated_put_is_recognized(
+async def test_repeated_put_changes_nothing(
     http: aiohttp.ClientSession,
 ) -> None:
     first = await put(http, GROUP, group(3), If_None_Match="*")
@@ -70,17 +70,17 @@
     assert (second[0], second[1]["changed"]) == (200, False)
 
 
-async def test_a_put_whose_answer_the_store_lost_is_made_once(
+async def test_put_is_applied_once_when_the_store_response_is_lost(
     http: aiohttp.ClientSession, platform: Platform
 ) -> None:
     platform.faults.lose_answers = 1
-    status, made = await put(http, GROUP, group(3))
-    assert (status, made["resourceVersion"]) == (200, 1)
+    status, created = await put(http, GROUP, group(3))
+    assert (status, created["resourceVersion"]) == (200, 1)
     rows, _ = platform.tables.scan("changes", "", 10)
     assert len(rows) == 1
 
 
-async def test_the_loser_of_a_race_is_told_who_and_what(
+async def test_conflicting_put_reports_the_other_change(
     http: aiohttp.ClientSession, other_http: aiohttp.ClientSession
 ) -> None:
     await put(http, GROUP, group(3))
@@ -97,7 +97,7 @@
     assert error["current"]["slotsPerServer"] == 4
 
 
-async def test_the_version_in_the_document_counts(
+async def test_resource_version_in_the_document_is_checked(
     http: aiohttp.ClientSession,
 ) -> None:
     await put(http, GROUP, group(3))
@@ -117,31 +117,31 @@
         ([], 422, "must be an object"),
     ],
 )
-async def test_a_bad_document_is_refused(
+async def test_invalid_document_is_refused(
     http: aiohttp.ClientSession, document: Any, status: int, word: str
 ) -> None:
-    found, refusal = await put(http, GROUP, document)
-    assert found == status
+    actual_status, refusal = await put(http, GROUP, document)
+    assert actual_status == status
     assert word in str(refusal)
 
 
-async def test_a_body_that_is_no_json_or_too_large_is_refused(
+async def test_malformed_or_oversized_body_is_refused(
     http: aiohttp.ClientSession,
 ) -> None:
-    async with http.put(GROUP, data=b"{") as answer:
-        assert answer.status == 400
-    async with http.put(GROUP, data=b" " * 70_000) as answer:
-        assert answer.status == 413
+    async with http.put(GROUP, data=b"{") as response:
+        assert response.status == 400
+    async with http.put(GROUP, data=b" " * 70_000) as response:
+        assert response.status == 413
 
 
-async def test_a_condition_that_is_no_version_is_refused(
+async def test_malformed_if_match_is_refused(
     http: aiohttp.ClientSession,
 ) -> None:
     status, _ = await put(http, GROUP, group(), If_Match="abc")
     assert status == 400
 
 
-async def test_a_server_needs_its_group_and_keeps_it(
+async def test_server_requires_its_group_and_blocks_its_deletion(
     http: aiohttp.ClientSession,
 ) -> None:
     status, refusal = await put(http, SERVER, server())
@@ -149,16 +149,16 @@
     assert "apply the DatabaseGroup a first" in refusal["error"]["hint"]
     await put(http, GROUP, group())
     assert (await put(http, SERVER, server()))[0] == 200
-    async with http.delete(GROUP) as answer:
-        assert answer.status == 409
-        assert "s-1" in await answer.text()
+    async with http.delete(GROUP) as response:
+        assert response.status == 409
+        assert "s-1" in await response.text()
     for path in (SERVER, GROUP):
-        async with http.delete(path) as answer:
-            assert answer.status == 200
+        async with http.delete(path) as response:
+            assert response.status == 200
     assert (await get(http, GROUP))[0] == 404
 
 
-async def test_a_row_of_another_release_is_shown_with_all_keys(
+async def test_row_of_another_release_is_returned_with_all_keys(
     http: aiohttp.ClientSession, proxy: Any
 ) -> None:
     spec = {"slotsPerServer": 3, "newer": 1}
@@ -172,24 +172,24 @@
     assert shown["connectionLimit"] == 80
 
 
-async def test_a_group_applied_elsewhere_a_moment_ago_is_found(
+async def test_group_just_applied_through_another_proxy_is_found(
     http: aiohttp.ClientSession, other_http: aiohttp.ClientSession
 ) -> None:
     await put(other_http, GROUP, group())
     assert (await put(http, SERVER, server()))[0] == 200
 
 
-async def test_a_deletion_of_another_version_is_refused(
+async def test_deletion_of_an_old_version_is_refused(
     http: aiohttp.ClientSession,
 ) -> None:
     await put(http, GROUP, group(3))
     await put(http, GROUP, group(4))
-    async with http.delete(GROUP, headers={"If-Match": '"1"'}) as answer:
-        assert answer.status == 412
+    async with http.delete(GROUP, headers={"If-Match": '"1"'}) as response:
+        assert response.status == 412
     assert (await get(http, GROUP))[0] == 200
 
 
-async def test_an_outage_says_that_nothing_was_changed(
+async def test_store_outage_reports_that_nothing_changed(
     http: aiohttp.ClientSession, platform: Platform
 ) -> None:
     await put(http, GROUP, group(3))
@@ -201,28 +201,30 @@
 
 
 @pytest.mark.parametrize("token", ["", "Bearer", "Bearer x", "Basic plain"])
-async def test_a_wrong_token_is_refused(
+async def test_invalid_token_is_refused(
     http: aiohttp.ClientSession, token: str
 ) -> None:
     headers = {"Authorization": token}
     for path in (GROUP, "/v1/status", "/v1/watch", "/nowhere"):
-        async with http.get(path, headers=headers) as answer:
-            assert answer.status == 401
-            assert answer.headers["WWW-Authenticate"] == "Bearer"
+        async with http.get(path, headers=headers) as response:
+            assert response.status == 401
+            assert response.headers["WWW-Authenticate"] == "Bearer"
 
 
-async def test_the_balancer_needs_no_token(
+async def test_readiness_needs_no_token(
     http: aiohttp.ClientSession, proxy: Any
 ) -> None:
     headers = {"Authorization": ""}
-    async with http.get("/v1/ready", headers=headers) as answer:
-        assert answer.status == 200
+    async with http.get("/v1/ready", headers=headers) as response:
+        assert response.status == 200
     proxy.ports.is_ready = False
-    async with http.get("/v1/ready", headers=headers) as answer:
-        assert answer.status == 503
+    async with http.get("/v1/ready", headers=headers) as response:
+        assert response.status == 503
 
 
-async def test_the_api_describes_itself(http: aiohttp.ClientSession) -> None:
+async def test_openapi_document_lists_the_resource_paths(
+    http: aiohttp.ClientSession,
+) -> None:
     status, document = await get(http, "/v1/openapi.json")
     assert status == 200
     assert GROUP.rsplit("/", 1)[0] in document["paths"]
