--- a/packages/jackdawcrank-proxy/src/jackdawcrank/commands/demo.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/commands/demo.py
@@ -1,4 +1,4 @@
-"""A scripted session that shows the main job."""
+"""A scripted demo of session consistency, failover and draining."""
 
 import asyncio
 import time
@@ -14,7 +14,7 @@
 GROUP = "depot"
 LAG_SECONDS = 0.3
 CATCH_UP_SECONDS = 1.0
-# Homes that have just begun wait out leases that others may hold.
+# A newly started home waits until leases that others may hold have expired.
 LEASE_EXPIRY_SECONDS = 4.0
 WRITE_RETRY_SECONDS = 0.02
 STEP_TIMEOUT_SECONDS = 20.0
@@ -23,7 +23,7 @@
 
 
 class DemoFailed(Exception):
-    """A step did not show what it should."""
+    """A step did not give the expected result."""
 
 
 async def run_demo() -> int:
@@ -49,7 +49,7 @@
 
     Attributes:
       system: The embedded system.
-      number: The number of the present step.
+      number: The number of the current step.
     """
 
     def __init__(self, system: EmbeddedSystem) -> None:
@@ -96,7 +96,7 @@
         return str(token)
 
     async def read_from_replica(self, token: str) -> None:
-        """Read with a stated age and with a token once replicas caught up."""
+        """Read by maximum age and by token after replicas caught up."""
         await asyncio.sleep(CATCH_UP_SECONDS)
         before = self.replica_reads()
         caller = await self.connect("vm3")
@@ -109,7 +109,7 @@
         )
 
     async def replace_primary(self, token: str) -> None:
-        """Cut the primary off and measure the gap for writes."""
+        """Partition the primary and measure the write unavailability."""
         await asyncio.sleep(LEASE_EXPIRY_SECONDS)
         primary = self.system.primary_of(GROUP)
         self.system.groups[GROUP].partition(primary)
@@ -131,7 +131,11 @@
         self.system.groups[GROUP].heal(primary)
 
     async def first_write_after(self, started: float) -> float:
-        """Return the seconds until a write is acknowledged."""
+        """Return the seconds from `started` to the first acknowledged write.
+
+        Raises:
+          DemoFailed: No write was acknowledged in time.
+        """
         number = 0
         while time.monotonic() - started < STEP_TIMEOUT_SECONDS:
             number += 1
@@ -148,7 +152,7 @@
         raise DemoFailed("no write was acknowledged after the cut")
 
     async def drain_proxy(self) -> None:
-        """Shut a proxy down while requests run on it."""
+        """Drain a proxy while a transaction is open on it."""
         proxy = self.system.proxies["vm3"]
         caller = await self.connect("vm3")
         await run(caller, "BEGIN")
@@ -166,7 +170,7 @@
         )
 
     async def connect(self, vm: str) -> Any:
-        """Return a connection of a caller to a proxy."""
+        """Open a caller connection to a proxy."""
         description = self.system.describe()
         ports = {c["vm"]: c["port"] for c in description["callers"]}
         return await asyncmy.connect(
@@ -179,7 +183,7 @@
         )
 
     def replica_reads(self) -> int:
-        """Return how many reads replicas have served."""
+        """Return the number of reads served by replicas."""
         return sum(
             home.group.counters.replica_reads
             for proxy in self.system.proxies.values()
@@ -187,7 +191,7 @@
         )
 
     def report_step(self, text: str) -> None:
-        """Print a step."""
+        """Print the result of a step with its number."""
         self.number += 1
         click.echo(f"{self.number}. {text}")
 
@@ -209,7 +213,7 @@
 
     Args:
       condition: Whether the step succeeded.
-      detail: What was seen instead.
+      detail: The actual result, for the error message.
     """
     if not condition:
         raise DemoFailed(detail)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/commands/embedded.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/commands/embedded.py
@@ -1,4 +1,4 @@
-"""Runs an embedded system."""
+"""The command that runs an embedded system."""
 
 import json
 import pathlib
@@ -13,11 +13,11 @@
 async def run_embedded(
     options: EmbeddedOptions, ready_file: pathlib.Path | None
 ) -> int:
-    """Run proxies and stand-ins until a signal.
+    """Run proxies and stand-ins until SIGTERM or SIGINT.
 
     Args:
-      options: The size and manner of the system.
-      ready_file: Where to describe the system once it is ready.
+      options: The size and behavior of the system.
+      ready_file: The JSON file to write once the system is ready.
 
     Returns:
       The exit status.
@@ -28,11 +28,11 @@
 async def run_until_stopped(
     system: EmbeddedSystem | PlatformSystem, ready_file: pathlib.Path | None
 ) -> int:
-    """Run a system until a signal.
+    """Run a system until SIGTERM or SIGINT.
 
     Args:
       system: The system.
-      ready_file: Where to describe the system once it is ready.
+      ready_file: The JSON file to write once the system is ready.
 
     Returns:
       The exit status.
@@ -47,7 +47,7 @@
 
 
 def _write_atomically(path: pathlib.Path, text: str) -> None:
-    """Write a file so that a reader never sees a part of it."""
+    """Replace a file atomically, so that no reader sees partial text."""
     partial = path.with_name(path.name + ".partial")
     partial.write_text(text + "\n", encoding="utf-8")
     partial.replace(path)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/commands/platform_demo.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/commands/platform_demo.py
@@ -1,4 +1,4 @@
-"""A scripted session on the stand-in of the users' platform."""
+"""A scripted demo on the stand-in of the users' platform."""
 
 import asyncio
 
@@ -8,12 +8,12 @@
 from jackdawcrank_standins.users_platform import LineCaller
 
 READY_TIMEOUT_SECONDS = 10.0
-# A change of primary is over in 7 s.
+# A failover takes up to 7 s.
 MAX_ATTEMPTS = 100
 
 
 async def run_platform_demo() -> bool:
-    """Run the demo; return whether it showed what it should."""
+    """Run the demo; return whether it gave the expected results."""
     system = PlatformSystem(vms=3)
     await system.start()
     try:
@@ -23,7 +23,7 @@
 
 
 async def run_scenario(system: PlatformSystem) -> bool:
-    """Write, lose the primary, and read what was written."""
+    """Write, stop the primary, and read the write after failover."""
     async with asyncio.timeout(READY_TIMEOUT_SECONDS):
         for proxy in system.proxies.values():
             await proxy.directory.servers_loaded.wait()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/commands/run.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/commands/run.py
@@ -1,4 +1,4 @@
-"""Runs the proxy of one VM."""
+"""The command that runs the proxy of one VM."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 async def run_proxy(settings: Settings) -> int:
-    """Run until a signal or an operator asks for the end.
+    """Run until a signal or an operator stops the process.
 
     Args:
       settings: The settings of this VM.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/__init__.py
@@ -1,4 +1,4 @@
-"""Proxies with embedded stand-ins, for trying out and for tests."""
+"""Proxies with embedded stand-ins, for demos and tests."""
 
 from jackdawcrank.embedded.embedded_options import EmbeddedOptions
 from jackdawcrank.embedded.embedded_system import EmbeddedSystem
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/embedded_options.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/embedded_options.py
@@ -1,4 +1,4 @@
-"""How large an embedded system is and how its stand-ins behave."""
+"""Options of an embedded system and its stand-ins."""
 
 import attrs
 
@@ -11,15 +11,15 @@
 
 @attrs.frozen
 class EmbeddedOptions:
-    """The size and manner of an embedded system.
+    """The size and behavior of an embedded system.
 
     Attributes:
       vms: The number of proxies.
       groups: The names of the database groups.
-      servers_per_group: Backend servers of each group.
-      slots: Statements that one backend server runs at once.
-      connection_limit: Connections that one group accepts.
-      connect_seconds: What a new connection to a backend server costs.
+      servers_per_group: The number of backend servers in each group.
+      slots: The number of statements that a backend server runs concurrently.
+      connection_limit: The maximum number of connections to one group.
+      connect_seconds: The time to open a connection to a backend server.
       lag_seconds: The replication lag of the replicas.
       statement_seconds: The service time of a statement.
       confirm_writes: Whether a replica must confirm each write.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/embedded_system.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/embedded_system.py
@@ -25,10 +25,10 @@
 
 
 class EmbeddedSystem:
-    """A whole small system.
+    """Proxies, backend servers and a platform in one process.
 
     Attributes:
-      options: Its size.
+      options: The size and behavior of the system.
       platform: The stand-in for the platform.
       groups: The stand-ins for the backend servers, by group.
       proxies: The proxies by VM.
@@ -65,7 +65,7 @@
     async def drain(self) -> None:
         """Close callers at statement boundaries, then stop everything.
 
-        No proxy stays that homes could be handed over to.
+        Homes are not handed over, because no proxy remains to take them.
         """
         await asyncio.gather(
             *(
@@ -76,7 +76,7 @@
         await self.close()
 
     async def start_proxy(self, vm: str) -> Proxy:
-        """Start a proxy and put its VM on the platform's list.
+        """Start a proxy and add its VM to the platform's list.
 
         Args:
           vm: The VM's name.
@@ -103,7 +103,7 @@
                 await proxy.follower.wait_above(proxy.follower.version)
 
     def describe(self) -> dict[str, Any]:
-        """Return where everything listens, as JSON values."""
+        """Return all addresses and credentials as JSON values."""
         proxies = self.proxies.items()
         return {
             "callers": [
@@ -125,7 +125,7 @@
         }
 
     def primary_of(self, group: str) -> str:
-        """Return the primary in a group's newest row on any proxy.
+        """Return the primary of a group by the newest row of any proxy.
 
         Args:
           group: The group's name.
@@ -215,4 +215,4 @@
             kind, name, {"spec": spec}, 0, "embedded"
         )
         if not isinstance(outcome, Appended):
-            raise RuntimeError(f"{kind} {name} was not declared: {outcome}")
+            raise RuntimeError(f"cannot append {kind} {name}: {outcome}")
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/platform_system.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/platform_system.py
@@ -17,12 +17,12 @@
 
 
 class PlatformSystem:
-    """Starts the stand-in platform and some proxies before it.
+    """Runs the stand-in platform and proxies in front of it.
 
     Attributes:
       platform: The stand-in.
       proxies: The proxies by VM.
-      ports: Where callers connect, by VM.
+      ports: The caller port of each VM.
     """
 
     def __init__(self, vms: int) -> None:
@@ -32,7 +32,7 @@
         self.ports: dict[str, int] = {}
 
     async def start(self) -> None:
-        """Start everything; proxies are ready soon after."""
+        """Start everything without waiting until the proxies are ready."""
         await self.platform.start()
         folder = pathlib.Path(tempfile.mkdtemp(prefix="jackdawcrank-"))
         zones = list(ZONES)
@@ -48,19 +48,19 @@
             self.proxies[vm] = proxy
 
     def describe(self) -> dict[str, Any]:
-        """Return the ports and the databases."""
+        """Return the caller ports and database names as JSON values."""
         databases = [f"{GROUP}-primary", f"{GROUP}-read_your_writes"]
         callers = [{"vm": vm, "port": port} for vm, port in self.ports.items()]
         return {"callers": callers, "databases": databases}
 
     async def drain(self) -> None:
-        """Let every proxy leave in order, then stop the rest."""
+        """Stop each proxy gracefully, one by one, then the platform."""
         for proxy in self.proxies.values():
             await proxy.stop()
         await self.platform.close()
 
     async def close(self) -> None:
-        """Stop everything at once."""
+        """Stop everything without draining."""
         for proxy in self.proxies.values():
             await proxy.close()
         await self.platform.close()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/action_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/action_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers that make the system do something."""
+"""Handlers for promotions, drains, request outcomes and process status."""
 
 from typing import Any
 
@@ -22,7 +22,7 @@
 
 
 class ActionHandlers:
-    """Serves promotions, drains and questions about requests."""
+    """Serves promotions, drains, request outcomes and process status."""
 
     def __init__(self, ports: OperatorPorts) -> None:
         self.ports = ports
@@ -39,7 +39,7 @@
         ]
 
     async def promote(self, request: web.Request) -> web.Response:
-        """Begin a promotion, to the server that the body may name."""
+        """Promote the server in the body, or one selected automatically."""
         name = request.match_info["name"]
         if name not in self.ports.follower.configuration.groups:
             return not_found_response(f"DatabaseGroup {name}")
@@ -66,7 +66,7 @@
         return spec is not None and spec.group == group
 
     async def drain_vm(self, request: web.Request) -> web.Response:
-        """Begin the graceful shutdown of a VM, this one or another."""
+        """Start the graceful shutdown of this VM or of another one."""
         name = request.match_info["name"]
         if name == self.ports.vm:
             return action_response(await self.ports.drain_self(request[ACTOR]))
@@ -77,7 +77,7 @@
         return await forward(request, vm, f"/v1/vms/{name}/drain")
 
     async def drain_server(self, request: web.Request) -> web.Response:
-        """Declare a backend server as leaving, once it is no primary."""
+        """Set a server's state to leaving after replacing it as primary."""
         name = request.match_info["name"]
         kind = Kind.BACKEND_SERVER
         entry = self.ports.follower.configuration.entries.get((kind, name))
@@ -94,7 +94,7 @@
         return await write(self.ports, drain)
 
     async def request_outcome(self, request: web.Request) -> web.Response:
-        """Tell what became of a caller's request."""
+        """Return the recorded outcome of a caller's request."""
         group, request_id = (
             request.match_info["group"],
             request.match_info["id"],
@@ -108,11 +108,11 @@
         return web.json_response(dict(outcome))
 
     async def status(self, request: web.Request) -> web.Response:
-        """Tell the state of this process and which VMs it knows."""
+        """Return the state of this process and the VMs that it knows."""
         return web.json_response(status_document(self.ports))
 
     async def ready(self, request: web.Request) -> web.Response:
-        """Tell the platform's balancer whether to send callers here."""
+        """Return the readiness of this VM for the load balancer."""
         ready = self.ports.ready()
         status = 200 if ready else UNAVAILABLE
         return web.json_response({"ready": ready}, status=status)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/action_responses.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/action_responses.py
@@ -1,4 +1,4 @@
-"""Answers to actions."""
+"""HTTP responses to operator actions."""
 
 import functools
 from typing import Any
@@ -19,19 +19,19 @@
 
 @functools.singledispatch
 def action_response(outcome: object) -> web.Response:
-    """Return the answer to an action with some outcome."""
-    raise TypeError(f"not an outcome: {outcome!r}")
+    """Return the HTTP response for the outcome of an action."""
+    raise TypeError(f"unsupported action outcome: {outcome!r}")
 
 
 @action_response.register
 def done_response(outcome: ActionDone) -> web.Response:
-    """Return the answer to an action that was carried out."""
+    """Return the response to an action that was done or has started."""
     return web.json_response({"done": True, **outcome.detail})
 
 
 @action_response.register
 def refused_response(outcome: ActionRefused) -> web.Response:
-    """Return the answer to an action that was refused."""
+    """Return the response to a refused action."""
     extra_fields: dict[str, Any] = {}
     if outcome.retry_after_ms is not None:
         extra_fields["retryAfterMs"] = outcome.retry_after_ms
@@ -40,5 +40,5 @@
 
 @action_response.register
 def target_not_found_response(outcome: TargetNotFound) -> web.Response:
-    """Return the answer to an action on something that does not exist."""
+    """Return the response to an action on a missing target."""
     return not_found_response(outcome.detail)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/api.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/api.py
@@ -1,4 +1,4 @@
-"""The resource API over HTTP."""
+"""HTTP server of the resource API."""
 
 import asyncio
 from collections.abc import Sequence
@@ -20,12 +20,12 @@
 
 
 class OperatorApi:
-    """Serves operators on one port.
+    """Serves the resource API on one port.
 
     Attributes:
       host: The address to listen on.
-      port: The port; after `start` the one that was bound.
-      closing: Set at shutdown; ends the streams.
+      port: The port; after `start`, the bound port.
+      closing: Set at shutdown to end the open streams.
     """
 
     def __init__(
@@ -35,13 +35,13 @@
         tokens: Sequence[str],
         ports: OperatorPorts,
     ) -> None:
-        """Make the API; `start` opens it.
+        """Initialize the API without opening its port.
 
         Args:
           host: The address to listen on.
-          port: The port; 0 picks a free one.
-          tokens: The bearer tokens; `NAME:SECRET` names the holder.
-          ports: What the process offers.
+          port: The port; 0 selects a free one.
+          tokens: The bearer tokens; `NAME:SECRET` identifies the holder.
+          ports: The proxy functions that the API uses.
         """
         self.host = host
         self.port = port
@@ -51,7 +51,11 @@
         self.runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Open the port."""
+        """Start listening.
+
+        Raises:
+          OSError: The address is not available.
+        """
         app = web.Application(
             client_max_size=MAX_BODY_BYTES,
             middlewares=[require_token(self.tokens)],  # type: ignore[list-item]
@@ -78,12 +82,15 @@
         self.port = int(self.runner.addresses[0][1])
 
     async def close(self) -> None:
-        """End the streams, answer what is in flight and close the port."""
+        """End the streams, wait for requests in flight and close the port.
+
+        Requests get at most SHUTDOWN_TIMEOUT_SECONDS to finish.
+        """
         self.closing.set()
         runner, self.runner = self.runner, None
         if runner is not None:
             await runner.cleanup()
 
     async def openapi(self, request: web.Request) -> web.Response:
-        """Describe the API."""
+        """Return the OpenAPI document."""
         return web.json_response(openapi_document())
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/auth.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/auth.py
@@ -1,4 +1,4 @@
-"""Lets in operators with a bearer token."""
+"""Bearer token authentication of operators."""
 
 import hmac
 from collections.abc import Awaitable, Callable, Sequence
@@ -18,9 +18,10 @@
 
 
 def matching_token(tokens: Sequence[str], presented_token: str) -> str | None:
-    """Return the token that was given; None if it is none of them.
+    """Return the configured token that matches, or None.
 
-    Every token is compared in full, in constant time.
+    Every token is compared in full, in constant time, so that the response
+    time reveals nothing about the tokens.
     """
     matched_token = None
     for token in tokens:
@@ -30,10 +31,10 @@
 
 
 def actor_name(token: str, request: web.Request) -> str:
-    """Return who holds a token.
+    """Return the name of the actor behind a request.
 
-    A token `NAME:SECRET` names its holder; with another one the client says
-    who it is.
+    A token `NAME:SECRET` identifies its holder. With any other token, the
+    client names the actor in the `Jackdawcrank-Actor` header.
     """
     name, separator, _ = token.partition(":")
     if separator and name:
@@ -44,10 +45,10 @@
 
 
 def require_token(tokens: Sequence[str]) -> Callable[..., Awaitable[object]]:
-    """Return the middleware that refuses requests without a token.
+    """Return middleware that rejects requests without a valid token.
 
     Args:
-      tokens: The tokens that are let in.
+      tokens: The accepted tokens.
     """
 
     @web.middleware
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/bodies.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/bodies.py
@@ -1,4 +1,4 @@
-"""Reads request bodies within bounds."""
+"""Parsing of request bodies and query parameters within limits."""
 
 import asyncio
 import json
@@ -17,19 +17,19 @@
 
 
 async def json_body(request: web.Request) -> Any | web.Response:
-    """Return a request's JSON value, or the answer that refuses it."""
+    """Return the JSON body of a request, or an error response."""
     try:
         async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
             text = await request.read()
     except web.HTTPRequestEntityTooLarge:
         return error_response(
-            TOO_LARGE, "too_large", f"a body has at most {MAX_BODY_BYTES} bytes"
+            TOO_LARGE, "too_large", f"the body exceeds {MAX_BODY_BYTES} bytes"
         )
     except TimeoutError:
         return error_response(
             BAD_REQUEST,
             "timeout",
-            f"the body took over {BODY_TIMEOUT_SECONDS} s",
+            f"the body did not arrive within {BODY_TIMEOUT_SECONDS} s",
         )
     try:
         return json.loads(text) if text else {}
@@ -41,7 +41,7 @@
 def integer_parameter(
     request: web.Request, name: str, default: int
 ) -> int | None:
-    """Return a query parameter as a number; None if it is none."""
+    """Return a query parameter as an integer; None if malformed."""
     text = request.query.get(name, "")
     if not text:
         return default
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/documents.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/documents.py
@@ -1,4 +1,4 @@
-"""JSON forms of stored rows, as operators see them."""
+"""JSON documents of stored rows in the resource API."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
@@ -10,7 +10,7 @@
 def resource_view(
     kind: str, name: str, entry: Entry, status: Mapping[str, Any]
 ) -> dict[str, Any]:
-    """Return the resource that an entry of the configuration holds."""
+    """Return the resource document of a configuration entry."""
     return {
         "apiVersion": API_VERSION,
         "kind": kind,
@@ -26,9 +26,9 @@
 
 
 def full_spec(kind: str, spec: Mapping[str, Any]) -> dict[str, Any]:
-    """Return a stored spec with the defaults of the keys that it leaves out.
+    """Return a stored spec with defaults for its missing keys.
 
-    A row that an older release wrote lacks newer keys.
+    Rows written by an older release lack keys that were added later.
     """
     known_spec = stored_spec(Kind(kind), spec)
     defaults = to_json_value(known_spec) if known_spec is not None else {}
@@ -36,7 +36,7 @@
 
 
 def change_view(change: Change) -> dict[str, Any]:
-    """Return a change as one line of a watch."""
+    """Return the watch document of a change."""
     document = dict(change.document)
     document.pop("resource_version", None)
     document.pop("token", None)
@@ -54,7 +54,7 @@
 def differences(
     before: Mapping[str, Any], after: Mapping[str, Any], path: str = "spec"
 ) -> Iterator[dict[str, Any]]:
-    """Yield each key of a spec that differs."""
+    """Yield the path, old and new value of each differing key."""
     for name in sorted(before.keys() | after.keys()):
         old, new = before.get(name), after.get(name)
         if old != new:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/error_responses.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/error_responses.py
@@ -1,4 +1,4 @@
-"""Error answers of the resource API."""
+"""Error responses of the resource API."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -25,14 +25,14 @@
     hint: str = "",
     **extra_fields: Any,
 ) -> web.Response:
-    """Return an error answer.
+    """Return an error response.
 
     Args:
       status: The HTTP status.
-      code: A word for programs.
-      message: What is wrong.
-      hint: What to do about it.
-      **extra_fields: Further JSON values.
+      code: The machine-readable error code.
+      message: The human-readable cause.
+      hint: How to resolve the error; left out if empty.
+      **extra_fields: Further fields of the error, as JSON values.
     """
     error: dict[str, Any] = {"code": code, "message": message}
     if hint:
@@ -43,7 +43,7 @@
 
 
 def invalid_resource_response(problems: Iterable[Problem]) -> web.Response:
-    """Return the answer to an invalid resource."""
+    """Return the response to an invalid resource."""
     listed = [problem_document(problem) for problem in problems]
     return error_response(
         INVALID,
@@ -55,7 +55,7 @@
 
 
 def problem_document(problem: Problem) -> Mapping[str, Any]:
-    """Return a problem's JSON value."""
+    """Return a validation problem as a JSON object."""
     return {
         "path": problem.path,
         "message": problem.message,
@@ -66,7 +66,12 @@
 def store_unavailable_response(
     maybe_applied: bool, detail: str
 ) -> web.Response:
-    """Return the answer when the store can't be reached."""
+    """Return the response if the store is unavailable.
+
+    Args:
+      maybe_applied: Whether a change may have been applied nevertheless.
+      detail: The human-readable cause.
+    """
     if maybe_applied:
         message = f"the change may have been made; {detail}"
         hint = "send the same request again; a change is made once only"
@@ -83,5 +88,5 @@
 
 
 def not_found_response(what: str, hint: str = "") -> web.Response:
-    """Return the answer about something that does not exist."""
+    """Return the response for a missing resource."""
     return error_response(NOT_FOUND, "not_found", f"there is no {what}", hint)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/forward.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/forward.py
@@ -1,4 +1,4 @@
-"""Passes actions on to other VMs."""
+"""Forwarding of actions to other VMs."""
 
 from typing import Any
 
@@ -16,7 +16,10 @@
 async def forward(
     request: web.Request, vm: Vm, path: str, body: Any = None
 ) -> web.Response:
-    """Pass an action on to another VM's resource API."""
+    """Forward an action to another VM's resource API.
+
+    An unreachable VM gives a 503 response.
+    """
     url = f"http://{vm.host}:{vm.operator_port}{path}"
     headers = {FORWARDED_HEADER: "1"}
     for name in COPIED_HEADERS:
@@ -34,6 +37,6 @@
         return error_response(
             UNAVAILABLE,
             "unreachable",
-            f"VM {vm.name} can't be reached: {type(error).__name__}",
-            f"ask {url} itself, if the VM is not dead",
+            f"cannot reach VM {vm.name}: {type(error).__name__}",
+            f"if the VM is running, send the request to {url} directly",
         )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/ports.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/ports.py
@@ -1,4 +1,4 @@
-"""What the resource API needs of the process that it runs in."""
+"""The interface between the resource API and its proxy process."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -12,10 +12,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class ActionDone:
-    """The action was carried out or has begun.
+    """The action was carried out or has started.
 
     Attributes:
-      detail: What is to be told, as JSON values.
+      detail: Further fields of the response, as JSON values.
     """
 
     detail: Mapping[str, Any] = dataclasses.field(default_factory=dict)
@@ -26,8 +26,9 @@
     """The action was not carried out.
 
     Attributes:
-      detail: Why, and what to do about it.
-      retry_after_ms: When to try again; None where that is no help.
+      detail: The reason, and how to resolve it.
+      retry_after_ms: The delay before a retry, in milliseconds; None if a
+        retry does not help.
     """
 
     detail: str
@@ -36,10 +37,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class TargetNotFound:
-    """What the action was about does not exist.
+    """The target of the action does not exist.
 
     Attributes:
-      detail: A sentence for people.
+      detail: A human-readable message.
     """
 
     detail: str
@@ -49,14 +50,14 @@
 
 
 class OperatorPorts(Protocol):
-    """The parts of a proxy that operators see.
+    """The proxy functions that the resource API uses.
 
     Attributes:
       vm: This VM's name.
-      store: The store.
-      change_log: Writes changes.
-      follower: The configuration in force.
-      timeline: The events of this process.
+      store: The store client.
+      change_log: Appends configuration changes to the store.
+      follower: Follows the configuration in force.
+      timeline: The event log of this process.
     """
 
     vm: str
@@ -66,7 +67,7 @@
     timeline: Timeline
 
     def ready(self) -> bool:
-        """Return whether callers should be sent to this VM."""
+        """Return whether this VM is ready to serve callers."""
 
     def members(self) -> MembershipView:
         """Return this VM's view of the membership."""
@@ -75,24 +76,24 @@
         """Return the process's state as JSON values."""
 
     def resource_status(self, kind: str, name: str) -> Mapping[str, Any]:
-        """Return what this VM knows of a resource; empty if nothing."""
+        """Return the status of a resource; empty if none is known."""
 
     async def promote(
         self, group: str, server: str | None, actor: str, force: bool = False
     ) -> ActionOutcome:
-        """Begin a promotion.
+        """Promote a server to primary of a group.
 
         Args:
           group: The database group.
-          server: The new primary; None leaves the choice to the system.
-          actor: Who asked.
-          force: Whether to do so with too few servers in reach.
+          server: The new primary; None selects one automatically.
+          actor: The operator who sent the request.
+          force: Whether to promote even if too few servers are reachable.
         """
 
     async def drain_self(self, actor: str) -> ActionOutcome:
-        """Begin the graceful shutdown of this VM."""
+        """Start the graceful shutdown of this VM."""
 
     async def request_outcome(
         self, group: str, request_id: str
     ) -> Mapping[str, Any] | None:
-        """Return what became of a request; None if nothing is known."""
+        """Return the outcome of a request; None if none is recorded."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/preconditions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/preconditions.py
@@ -1,4 +1,4 @@
-"""The conditions that a client puts on a write."""
+"""Version preconditions of writes."""
 
 import dataclasses
 from typing import Any
@@ -13,7 +13,7 @@
     """The resource version that a write requires.
 
     Attributes:
-      version: The version; 0 for no such resource, None for any.
+      version: The version; 0 if the resource must not exist, None for any.
     """
 
     version: int | None
@@ -21,10 +21,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class MalformedPrecondition:
-    """The condition can't be understood.
+    """The precondition is malformed.
 
     Attributes:
-      detail: A sentence for people.
+      detail: A human-readable message.
     """
 
     detail: str
@@ -33,12 +33,12 @@
 def expected_version(
     request: web.Request, document: Any = None
 ) -> ExpectedVersion | MalformedPrecondition:
-    """Return what a write requires by its headers or its document.
+    """Return the version that the headers or the document require.
 
     Args:
-      request: The request; `If-Match` holds a resource version, and
-        `If-None-Match: *` stands for no such resource.
-      document: The resource; its `resourceVersion` counts without a header.
+      request: The request; `If-Match` gives a resource version, and
+        `If-None-Match: *` requires that the resource does not exist.
+      document: The resource; its `resourceVersion` applies if no header is set.
     """
     if request.headers.get("If-None-Match", "").strip() == "*":
         return ExpectedVersion(ABSENT)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/promotions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/promotions.py
@@ -1,4 +1,4 @@
-"""Promotions, asked of a home proxy of the group."""
+"""Promotions, run by a home proxy of the database group."""
 
 from aiohttp import web
 
@@ -22,14 +22,14 @@
     server: str | None,
     force: bool = False,
 ) -> web.Response:
-    """Begin a promotion here or, if this VM is no home, at one.
+    """Promote a server, through a home proxy if this VM is not a home.
 
     Args:
-      ports: What the process offers.
+      ports: The proxy functions that the API uses.
       request: The operator's request.
       group: The database group.
-      server: The new primary; None leaves the choice to the system.
-      force: Whether to do so with too few servers in reach.
+      server: The new primary; None selects one automatically.
+      force: Whether to promote even if too few servers are reachable.
     """
     homes = reachable_homes(ports, group)
     if not homes or ports.vm in homes or FORWARDED_HEADER in request.headers:
@@ -51,16 +51,16 @@
 async def replace_leaving_primary(
     ports: OperatorPorts, request: web.Request, server: str
 ) -> web.Response | None:
-    """Have another server made primary if the given one is.
+    """Promote another server if the given one is the primary.
 
     Args:
-      ports: What the process offers.
+      ports: The proxy functions that the API uses.
       request: The operator's request.
-      server: The backend server that is to leave.
+      server: The backend server to be drained.
 
     Returns:
-      The refusal if the primary can't be moved; None if the server is no
-      primary any more.
+      An error response if the primary cannot be replaced; None if the server
+      is not, or is no longer, a primary.
     """
     group = group_with_primary(ports, server)
     if group is None:
@@ -70,7 +70,7 @@
 
 
 def reachable_homes(ports: OperatorPorts, group: str) -> dict[str, Vm]:
-    """Return the living home proxies of a group with their addresses."""
+    """Return the home proxies of a group that are known members."""
     row = ports.follower.configuration.group_rows.get(group)
     names = writer_names(row.writers) if row is not None else ()
     vms = ports.members().vms
@@ -78,7 +78,7 @@
 
 
 def group_with_primary(ports: OperatorPorts, server: str) -> str | None:
-    """Return the group whose primary a server is; None if of none."""
+    """Return the group that a server is the primary of, or None."""
     configuration = ports.follower.configuration
     spec = configuration.servers.get(server)
     row = configuration.group_rows.get(spec.group) if spec else None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/resource_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/resource_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers that list, get, put and delete resources."""
+"""Handlers to list, get, put and delete resources."""
 
 from aiohttp import web
 
@@ -70,12 +70,12 @@
         return web.json_response(body)
 
     async def get(self, request: web.Request) -> web.Response:
-        """Show one resource."""
+        """Return one resource."""
         kind, name = identity(request)
         return resource_response(self.ports, kind, name)
 
     async def put(self, request: web.Request) -> web.Response:
-        """Create or change a resource."""
+        """Create or update a resource."""
         kind, name = identity(request)
         document = await json_body(request)
         if isinstance(document, web.Response):
@@ -128,7 +128,7 @@
 
 
 def declares_leaving(resource: Resource) -> bool:
-    """Return whether a resource is a backend server that shall leave."""
+    """Return whether a resource is a backend server in state leaving."""
     spec = resource.spec
     if not isinstance(spec, BackendServerSpec):
         return False
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/timeline_handler.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/timeline_handler.py
@@ -1,4 +1,4 @@
-"""Streams the events of this process."""
+"""Streaming of the events of this process."""
 
 import asyncio
 from collections.abc import Sequence
@@ -18,13 +18,13 @@
 
 @attrs.frozen
 class EventFilter:
-    """Which events are wanted.
+    """Selects events by group, request and time.
 
     Attributes:
       group: The database group; empty for all.
-      request_id: The caller's request; empty for all.
-      after: The earliest Unix time.
-      before: The latest Unix time.
+      request_id: The request id; empty for all.
+      after: The earliest Unix time, in seconds.
+      before: The latest Unix time, in seconds.
     """
 
     group: str = ""
@@ -33,7 +33,7 @@
     before: float = float("inf")
 
     def matches(self, event: TimelineEvent) -> bool:
-        """Return whether an event is wanted."""
+        """Return whether an event passes the filter."""
         if self.group and event.group != self.group:
             return False
         if self.request_id and event.request_id != self.request_id:
@@ -42,7 +42,7 @@
 
 
 class TimelineHandler:
-    """Sends events as JSON lines, also those to come."""
+    """Sends retained and, on request, new events as JSON lines."""
 
     def __init__(self, ports: OperatorPorts, closing: asyncio.Event) -> None:
         self.ports = ports
@@ -120,7 +120,7 @@
     events: Sequence[TimelineEvent],
     event_filter: EventFilter,
 ) -> None:
-    """Send the wanted ones of some events."""
+    """Send the events that match a filter."""
     matching_events = [event for event in events if event_filter.matches(event)]
     for start in range(0, len(matching_events), EVENTS_PER_WRITE):
         batch = matching_events[start : start + EVENTS_PER_WRITE]
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/watch.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/watch.py
@@ -1,4 +1,4 @@
-"""Streams changes from a version on."""
+"""Streaming of configuration changes that follow a version."""
 
 import asyncio
 import dataclasses
@@ -27,15 +27,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class ChangesTrimmed:
-    """The change that follows a version is no longer kept."""
+    """The change that follows the requested version was trimmed."""
 
 
 class WatchHandler:
     """Sends each change above a version once, in order, as a JSON line.
 
     Attributes:
-      watches: How many streams are open.
-      closing: Set when the process shuts down; ends the streams.
+      watches: The number of open streams.
+      closing: Set at shutdown to end the open streams.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         version: int,
         changes: Sequence[Change],
     ) -> None:
-        """Send changes and then those that follow, until shutdown."""
+        """Send the given and all later changes until shutdown."""
         while not self.closing.is_set():
             for change in changes:
                 await send_line(response, change_view(change))
@@ -101,7 +101,7 @@
             changes = next_changes
 
     async def wait_for_newer(self, version: int) -> bool:
-        """Wait a while for a version above the given one."""
+        """Wait for a newer version, at most one bookmark interval."""
         tasks = (
             asyncio.ensure_future(self.ports.follower.wait_above(version)),
             asyncio.ensure_future(self.closing.wait()),
@@ -133,7 +133,7 @@
 
 
 def gone_response(version: int, floor: int) -> web.Response:
-    """Return the answer to a watch from a version that is too old."""
+    """Return the response to a watch from a trimmed version."""
     return error_response(
         GONE,
         "gone",
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/writes.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/writes.py
@@ -1,4 +1,4 @@
-"""Writes resources to the change log."""
+"""Writes of resources to the change log."""
 
 import asyncio
 import functools
@@ -37,14 +37,15 @@
 
 @attrs.frozen
 class WriteRequest:
-    """A write that an operator asked for.
+    """A write requested by an operator.
 
     Attributes:
       kind: The resource's kind.
       name: Its name.
-      body: The new row; None deletes it.
-      expected: The version that it must have; 0 for none, None for any.
-      actor: Who asked.
+      body: The new row; None deletes the resource.
+      expected: The required version; 0 if the resource must not exist, None
+        for any.
+      actor: The operator who sent the request.
     """
 
     kind: Kind
@@ -55,7 +56,7 @@
 
 
 async def write(ports: OperatorPorts, request: WriteRequest) -> web.Response:
-    """Make a change and answer once it is in force on this proxy."""
+    """Append a change and respond once this proxy has applied it."""
     outcome = await ports.change_log.append(
         request.kind,
         request.name,
@@ -70,15 +71,15 @@
 async def write_response(
     outcome: object, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
-    """Return the answer to a write with some outcome."""
-    raise TypeError(f"not an outcome: {outcome!r}")
+    """Return the HTTP response for the outcome of a write."""
+    raise TypeError(f"unsupported write outcome: {outcome!r}")
 
 
 @write_response.register
 async def appended_response(
     outcome: Appended, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
-    """Return the answer to a change that was made."""
+    """Return the response to a change that was appended."""
     ports.timeline.record(
         EventKind.CONFIG_APPLIED,
         config_version=outcome.version,
@@ -95,7 +96,7 @@
 async def unchanged_response(
     outcome: Unchanged, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
-    """Return the answer to a change that had been made before."""
+    """Return the response to a change that was already in the log."""
     await wait_until_applied(ports, outcome.version)
     return success_response(
         request, outcome.version, outcome.actor, changed=False
@@ -106,7 +107,7 @@
 async def conflict_response(
     outcome: ChangeConflict, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
-    """Return the answer that tells who else changed what."""
+    """Return the response to a conflict, with the other change."""
     ports.timeline.record(
         EventKind.CONFIG_CONFLICT,
         resource=f"{request.kind}/{request.name}",
@@ -141,14 +142,14 @@
 async def unavailable_write_response(
     outcome: StoreUnavailable, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
-    """Return the answer to a write that the store did not settle."""
+    """Return the response to a write that the store did not confirm."""
     return store_unavailable_response(outcome.maybe_applied, outcome.detail)
 
 
 async def changed_since(
     ports: OperatorPorts, request: WriteRequest, conflict: ChangeConflict
 ) -> list[dict[str, Any]]:
-    """Return what differs from the version that the writer knew."""
+    """Return the differences from the version that the writer expected."""
     if not request.expected or conflict.current is None:
         return []
     base = await read_change(ports.store, request.expected)
@@ -159,7 +160,10 @@
 
 
 async def wait_until_applied(ports: OperatorPorts, version: int) -> None:
-    """Wait for a version, so that this proxy's next answer shows it."""
+    """Wait for a version, so that the next read here returns it.
+
+    Returns after LOCAL_APPLY_TIMEOUT_SECONDS even without the version.
+    """
     try:
         async with asyncio.timeout(LOCAL_APPLY_TIMEOUT_SECONDS):
             await ports.follower.read_up_to(version)
@@ -170,7 +174,7 @@
 def success_response(
     request: WriteRequest, version: int, actor: str, changed: bool
 ) -> web.Response:
-    """Return the answer to a write that stands."""
+    """Return the response to a successful write."""
     document: dict[str, Any] = {
         "kind": str(request.kind),
         "metadata": {"name": request.name},
@@ -187,14 +191,14 @@
 
 
 def row_body(resource: Resource) -> dict[str, Any]:
-    """Return the row of a resource, without its version."""
+    """Return the row to store for a resource, without its version."""
     return {"spec": to_json_value(resource.spec)}
 
 
 def missing_reference(
     resource: Resource, configuration: Configuration
 ) -> web.Response | None:
-    """Return the refusal of a server whose group does not exist."""
+    """Return an error response if a server's group does not exist."""
     spec = resource.spec
     if not isinstance(spec, BackendServerSpec):
         return None
@@ -211,7 +215,7 @@
 def still_referenced(
     kind: Kind, name: str, configuration: Configuration
 ) -> web.Response | None:
-    """Return the refusal to delete a group that has servers."""
+    """Return an error response if a group still has servers."""
     if kind is not Kind.DATABASE_GROUP:
         return None
     servers = [server.name for server in configuration.servers_of(name)]
@@ -228,7 +232,7 @@
 def resource_response(
     ports: OperatorPorts, kind: Kind, name: str
 ) -> web.Response:
-    """Return the answer that shows a resource."""
+    """Return the response with a resource."""
     entry = ports.follower.configuration.entries.get((kind, name))
     if entry is None:
         hint = f"jackdawcrankctl get {kind} lists what there is"
--- a/packages/jackdawcrank-proxy/tests/operators/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/operators/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the resource API's tests."""
+"""Fixtures for the tests of the resource API."""
 
 import random
 from collections.abc import AsyncIterator, Mapping
@@ -27,7 +27,7 @@
 
 @attrs.define
 class Ports:
-    """A proxy reduced to what the resource API needs."""
+    """A minimal proxy with the functions that the resource API uses."""
 
     vm: str
     store: StoreClient
@@ -71,7 +71,7 @@
 
 @attrs.define
 class Proxy:
-    """A resource API with the parts behind it."""
+    """A resource API with its proxy functions."""
 
     ports: Ports
     api: OperatorApi
--- a/packages/jackdawcrank-proxy/tests/operators/test_actions.py
+++ b/packages/jackdawcrank-proxy/tests/operators/test_actions.py
@@ -1,4 +1,4 @@
-"""Tests of promotions, drains, questions and the time line over HTTP."""
+"""Tests of promotions, drains, request outcomes and the timeline."""
 
 import json
 from typing import Any
--- a/packages/jackdawcrank-proxy/tests/operators/test_resources.py
+++ b/packages/jackdawcrank-proxy/tests/operators/test_resources.py
@@ -1,4 +1,4 @@
-"""Tests of listing, changing and deleting resources over HTTP."""
+"""Tests of listing, writing and deleting resources over HTTP."""
 
 from typing import Any
 
--- a/packages/jackdawcrank-proxy/tests/operators/test_watch.py
+++ b/packages/jackdawcrank-proxy/tests/operators/test_watch.py
@@ -1,4 +1,4 @@
-"""Tests that a watch shows each change once and in order."""
+"""Tests that a watch sends each change once and in order."""
 
 import asyncio
 import json
