--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/promotions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/promotions.py
@@ -31,7 +31,7 @@
       server: The new primary; None selects one automatically.
       force: Whether to promote even if too few servers are reachable.
     """
-    homes = reachable_homes(ports, group)
+    homes = member_homes(ports, group)
     if not homes or ports.vm in homes or FORWARDED_HEADER in request.headers:
         actor = request[ACTOR]
         outcome = await ports.promote(group, server, actor, force)
@@ -69,7 +69,7 @@
     return response if response.status >= BAD_REQUEST else None
 
 
-def reachable_homes(ports: OperatorPorts, group: str) -> dict[str, Vm]:
+def member_homes(ports: OperatorPorts, group: str) -> dict[str, Vm]:
     """Return the home proxies of a group that are known members."""
     row = ports.follower.configuration.group_rows.get(group)
     names = writer_names(row.writers) if row is not None else ()
--- a/packages/jackdawcrank-proxy/tests/operators/test_actions.py
+++ b/packages/jackdawcrank-proxy/tests/operators/test_actions.py
@@ -36,7 +36,7 @@
         return response.status, await response.json()
 
 
-async def test_promotion_is_started_and_refusal_is_reported(
+async def test_promotion_and_its_refusal_are_reported(
     http: aiohttp.ClientSession, proxy: Any
 ) -> None:
     path = "/v1/groups/g/promote"
