--- a/packages/jackdawcrank-proxy/src/jackdawcrank/commands/run.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/commands/run.py
@@ -37,6 +37,6 @@
     await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     await proxy.drain("signal")
     await proxy.stopped.wait()
-    for wait in tasks:
-        wait.cancel()
+    for task in tasks:
+        task.cancel()
     return EXIT_OK
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/watch.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/watch.py
@@ -113,8 +113,8 @@
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            for wait in tasks:
-                wait.cancel()
+            for task in tasks:
+                task.cancel()
         return self.ports.follower.version > version
 
     async def changes_after(
