--- a/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/embedded_system.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/embedded/embedded_system.py
@@ -20,15 +20,15 @@
 from jackdawcrank_wire.settings import CallerLogin, Settings
 
 HOST = "127.0.0.1"
-READY_SECONDS = 30.0
+READY_TIMEOUT_SECONDS = 30.0
 DATA_CENTERS = ("north-1", "north-2", "south-1")
 
 
 class EmbeddedSystem:
-    """A whole small system.
+    """Proxies, backend servers and a platform in one process.
 
     Attributes:
-      options: Its size.
+      options: The size and behavior of the system.
       platform: The stand-in for the platform.
       groups: The stand-ins for the backend servers, by group.
       proxies: The proxies by VM.
@@ -37,7 +37,9 @@
     def __init__(self, options: EmbeddedOptions | None = None) -> None:
         self.options = options or EmbeddedOptions()
         self.platform = Platform()
-        self.groups = {name: self._group(name) for name in self.options.groups}
+        self.groups = {
+            name: self._make_group(name) for name in self.options.groups
+        }
         self.proxies: dict[str, Proxy] = {}
 
     async def start(self) -> None:
@@ -48,8 +50,8 @@
             self.platform.board.add_group(group)
         for number in range(1, self.options.vms + 1):
             await self.start_proxy(f"vm{number}")
-        await self._declare()
-        async with asyncio.timeout(READY_SECONDS):
+        await self._append_resources()
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             await self.wait_ready()
 
     async def close(self) -> None:
@@ -63,7 +65,7 @@
     async def drain(self) -> None:
         """Close callers at statement boundaries, then stop everything.
 
-        No proxy stays that homes could be handed over to.
+        Homes are not handed over, because no proxy remains to take them.
         """
         await asyncio.gather(
             *(
@@ -74,16 +76,16 @@
         await self.close()
 
     async def start_proxy(self, vm: str) -> Proxy:
-        """Start a proxy and put its VM on the platform's list.
+        """Start a proxy and add its VM to the platform's list.
 
         Args:
           vm: The VM's name.
         """
-        settings = self._settings(vm)
+        settings = self._make_settings(vm)
         proxy = Proxy(settings)
         await proxy.start()
         self.proxies[vm] = proxy
-        listed = Vm(
+        listed_vm = Vm(
             vm,
             HOST,
             proxy.peer_server.port,
@@ -91,7 +93,7 @@
             settings.region,
             settings.data_center,
         )
-        self.platform.list_vm(listed)
+        self.platform.list_vm(listed_vm)
         return proxy
 
     async def wait_ready(self) -> None:
@@ -101,7 +103,7 @@
                 await proxy.follower.wait_above(proxy.follower.version)
 
     def describe(self) -> dict[str, Any]:
-        """Return where everything listens, as JSON values."""
+        """Return all addresses and credentials as JSON values."""
         proxies = self.proxies.items()
         return {
             "callers": [
@@ -123,7 +125,7 @@
         }
 
     def primary_of(self, group: str) -> str:
-        """Return the primary in a group's newest row on any proxy.
+        """Return the primary of a group by the newest row of any proxy.
 
         Args:
           group: The group's name.
@@ -155,7 +157,7 @@
             for server in group.servers.values()
         ]
 
-    def _group(self, name: str) -> BackendGroup:
+    def _make_group(self, name: str) -> BackendGroup:
         options = self.options
         group = BackendGroup(name)
         for number in range(1, options.servers_per_group + 1):
@@ -170,7 +172,7 @@
             )
         return group
 
-    def _settings(self, vm: str) -> Settings:
+    def _make_settings(self, vm: str) -> Settings:
         number = int(vm.removeprefix("vm"))
         data_center = DATA_CENTERS[(number - 1) % len(DATA_CENTERS)]
         return Settings(
@@ -190,7 +192,7 @@
             backend_password=BACKEND_PASSWORD,
         )
 
-    async def _declare(self) -> None:
+    async def _append_resources(self) -> None:
         for name, group in self.groups.items():
             await self._append(
                 Kind.DATABASE_GROUP,
@@ -213,4 +215,4 @@
             kind, name, {"spec": spec}, 0, "embedded"
         )
         if not isinstance(outcome, Appended):
-            raise RuntimeError(f"{kind} {name} was not declared: {outcome}")
+            raise RuntimeError(f"cannot append {kind} {name}: {outcome}")
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/bodies.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/bodies.py
@@ -1,4 +1,4 @@
-"""Reads request bodies within bounds."""
+"""Parsing of request bodies and query parameters within limits."""
 
 import asyncio
 import json
@@ -6,38 +6,42 @@
 
 from aiohttp import web
 
-from jackdawcrank.operators.problem_answer import (
+from jackdawcrank.operators.error_responses import (
     BAD_REQUEST,
     TOO_LARGE,
-    error_answer,
+    error_response,
 )
 
 MAX_BODY_BYTES = 64 * 1024
-BODY_SECONDS = 10.0
+BODY_TIMEOUT_SECONDS = 10.0
 
 
 async def json_body(request: web.Request) -> Any | web.Response:
-    """Return a request's JSON value, or the answer that refuses it."""
+    """Return the JSON body of a request, or an error response."""
     try:
-        async with asyncio.timeout(BODY_SECONDS):
+        async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
             text = await request.read()
     except web.HTTPRequestEntityTooLarge:
-        return error_answer(
-            TOO_LARGE, "too_large", f"a body has at most {MAX_BODY_BYTES} bytes"
+        return error_response(
+            TOO_LARGE, "too_large", f"the body exceeds {MAX_BODY_BYTES} bytes"
         )
     except TimeoutError:
-        return error_answer(
-            BAD_REQUEST, "timeout", f"the body took over {BODY_SECONDS} s"
+        return error_response(
+            BAD_REQUEST,
+            "timeout",
+            f"the body did not arrive within {BODY_TIMEOUT_SECONDS} s",
         )
     try:
         return json.loads(text) if text else {}
     except (ValueError, RecursionError) as error:
         message = f"the body is not JSON: {error}"
-        return error_answer(BAD_REQUEST, "malformed", message)
+        return error_response(BAD_REQUEST, "malformed", message)
 
 
-def whole_number(request: web.Request, name: str, default: int) -> int | None:
-    """Return a query parameter as a number; None if it is none."""
+def integer_parameter(
+    request: web.Request, name: str, default: int
+) -> int | None:
+    """Return a query parameter as an integer; None if malformed."""
     text = request.query.get(name, "")
     if not text:
         return default
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/problem_answer.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/error_responses.py
@@ -1,4 +1,4 @@
-"""Error answers of the resource API."""
+"""Error responses of the resource API."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -18,32 +18,34 @@
 UNAVAILABLE = 503
 
 
-def error_answer(
+def error_response(
     status: int,
     code: str,
     message: str,
     hint: str = "",
-    **more: Any,
+    **extra_fields: Any,
 ) -> web.Response:
-    """Return an error answer.
+    """Return an error response.
 
     Args:
       status: The HTTP status.
-      code: A word for programs.
-      message: What is wrong.
-      hint: What to do about it.
-      **more: Further JSON values.
+      code: The machine-readable error code.
+      message: The human-readable cause.
+      hint: How to resolve the error; left out if empty.
+      **extra_fields: Further fields of the error, as JSON values.
     """
     error: dict[str, Any] = {"code": code, "message": message}
     if hint:
         error["hint"] = hint
-    return web.json_response({"error": {**error, **more}}, status=status)
+    return web.json_response(
+        {"error": {**error, **extra_fields}}, status=status
+    )
 
 
-def invalid_answer(problems: Iterable[Problem]) -> web.Response:
-    """Return the answer to an invalid resource."""
+def invalid_resource_response(problems: Iterable[Problem]) -> web.Response:
+    """Return the response to an invalid resource."""
     listed = [problem_document(problem) for problem in problems]
-    return error_answer(
+    return error_response(
         INVALID,
         "invalid",
         "the resource is not valid",
@@ -53,7 +55,7 @@
 
 
 def problem_document(problem: Problem) -> Mapping[str, Any]:
-    """Return a problem's JSON value."""
+    """Return a validation problem as a JSON object."""
     return {
         "path": problem.path,
         "message": problem.message,
@@ -61,15 +63,22 @@
     }
 
 
-def unavailable_answer(maybe_applied: bool, detail: str) -> web.Response:
-    """Return the answer when the store can't be reached."""
+def store_unavailable_response(
+    maybe_applied: bool, detail: str
+) -> web.Response:
+    """Return the response if the store is unavailable.
+
+    Args:
+      maybe_applied: Whether a change may have been applied nevertheless.
+      detail: The human-readable cause.
+    """
     if maybe_applied:
         message = f"the change may have been made; {detail}"
         hint = "send the same request again; a change is made once only"
     else:
         message = f"the change was not made; {detail}"
         hint = "try again once the store answers"
-    return error_answer(
+    return error_response(
         UNAVAILABLE,
         "store_unavailable",
         message,
@@ -78,6 +87,6 @@
     )
 
 
-def missing_answer(what: str, hint: str = "") -> web.Response:
-    """Return the answer about something that does not exist."""
-    return error_answer(NOT_FOUND, "not_found", f"there is no {what}", hint)
+def not_found_response(what: str, hint: str = "") -> web.Response:
+    """Return the response for a missing resource."""
+    return error_response(NOT_FOUND, "not_found", f"there is no {what}", hint)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/preconditions.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/preconditions.py
@@ -1,4 +1,4 @@
-"""The conditions that a client puts on a write."""
+"""Version preconditions of writes."""
 
 import dataclasses
 from typing import Any
@@ -9,22 +9,22 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Expected:
+class ExpectedVersion:
     """The resource version that a write requires.
 
     Attributes:
-      version: The version; 0 for no such resource, None for any.
+      version: The version; 0 if the resource must not exist, None for any.
     """
 
     version: int | None
 
 
 @dataclasses.dataclass(frozen=True)
-class MalformedCondition:
-    """The condition can't be understood.
+class MalformedPrecondition:
+    """The precondition is malformed.
 
     Attributes:
-      detail: A sentence for people.
+      detail: A human-readable message.
     """
 
     detail: str
@@ -32,24 +32,24 @@
 
 def expected_version(
     request: web.Request, document: Any = None
-) -> Expected | MalformedCondition:
-    """Return what a write requires by its headers or its document.
+) -> ExpectedVersion | MalformedPrecondition:
+    """Return the version that the headers or the document require.
 
     Args:
-      request: The request; `If-Match` holds a resource version, and
-        `If-None-Match: *` stands for no such resource.
-      document: The resource; its `resourceVersion` counts without a header.
+      request: The request; `If-Match` gives a resource version, and
+        `If-None-Match: *` requires that the resource does not exist.
+      document: The resource; its `resourceVersion` applies if no header is set.
     """
     if request.headers.get("If-None-Match", "").strip() == "*":
-        return Expected(ABSENT)
+        return ExpectedVersion(ABSENT)
     text = request.headers.get("If-Match", "").strip()
     if not text and isinstance(document, dict):
         version = document.get("resourceVersion")
-        return Expected(version if type(version) is int else None)
+        return ExpectedVersion(version if type(version) is int else None)
     if text in ("", "*"):
-        return Expected(None)
+        return ExpectedVersion(None)
     digits = text.removeprefix('"').removesuffix('"')
     if not digits.isdecimal():
         message = f"If-Match must be a resource version, but is {text[:40]!r}"
-        return MalformedCondition(message)
-    return Expected(int(digits))
+        return MalformedPrecondition(message)
+    return ExpectedVersion(int(digits))
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/operators/writes.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/operators/writes.py
@@ -1,4 +1,4 @@
-"""Writes resources to the change log."""
+"""Writes of resources to the change log."""
 
 import asyncio
 import functools
@@ -9,14 +9,14 @@
 from aiohttp import web
 
 from jackdawcrank.operators.documents import differences, resource_view
-from jackdawcrank.operators.ports import OperatorPorts
-from jackdawcrank.operators.problem_answer import (
+from jackdawcrank.operators.error_responses import (
     CONFLICT,
     PRECONDITION_FAILED,
-    error_answer,
-    missing_answer,
-    unavailable_answer,
+    error_response,
+    not_found_response,
+    store_unavailable_response,
 )
+from jackdawcrank.operators.ports import OperatorPorts
 from jackdawcrank.store import (
     Appended,
     ChangeConflict,
@@ -32,19 +32,20 @@
     to_json_value,
 )
 
-IN_FORCE_HERE_SECONDS = 2.0
+LOCAL_APPLY_TIMEOUT_SECONDS = 2.0
 
 
 @attrs.frozen
 class WriteRequest:
-    """A write that an operator asked for.
+    """A write requested by an operator.
 
     Attributes:
       kind: The resource's kind.
       name: Its name.
-      body: The new row; None deletes it.
-      expected: The version that it must have; 0 for none, None for any.
-      actor: Who asked.
+      body: The new row; None deletes the resource.
+      expected: The required version; 0 if the resource must not exist, None
+        for any.
+      actor: The operator who sent the request.
     """
 
     kind: Kind
@@ -55,7 +56,7 @@
 
 
 async def write(ports: OperatorPorts, request: WriteRequest) -> web.Response:
-    """Make a change and answer once it is in force on this proxy."""
+    """Append a change and respond once this proxy has applied it."""
     outcome = await ports.change_log.append(
         request.kind,
         request.name,
@@ -63,46 +64,50 @@
         request.expected,
         request.actor,
     )
-    return await answer(outcome, ports, request)
+    return await write_response(outcome, ports, request)
 
 
 @functools.singledispatch
-async def answer(
+async def write_response(
     outcome: object, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
-    """Return the answer to a write with some outcome."""
-    raise TypeError(f"not an outcome: {outcome!r}")
+    """Return the HTTP response for the outcome of a write."""
+    raise TypeError(f"unsupported write outcome: {outcome!r}")
 
 
-@answer.register
-async def answer_appended(
+@write_response.register
+async def appended_response(
     outcome: Appended, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
-    """Return the answer to a change that was made."""
+    """Return the response to a change that was appended."""
     ports.timeline.record(
         EventKind.CONFIG_APPLIED,
         config_version=outcome.version,
         resource=f"{request.kind}/{request.name}",
         actor=request.actor,
     )
-    await in_force_here(ports, outcome.version)
-    return success(request, outcome.version, request.actor, changed=True)
+    await wait_until_applied(ports, outcome.version)
+    return success_response(
+        request, outcome.version, request.actor, changed=True
+    )
 
 
-@answer.register
-async def answer_unchanged(
+@write_response.register
+async def unchanged_response(
     outcome: Unchanged, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
-    """Return the answer to a change that had been made before."""
-    await in_force_here(ports, outcome.version)
-    return success(request, outcome.version, outcome.actor, changed=False)
+    """Return the response to a change that was already in the log."""
+    await wait_until_applied(ports, outcome.version)
+    return success_response(
+        request, outcome.version, outcome.actor, changed=False
+    )
 
 
-@answer.register
-async def answer_conflict(
+@write_response.register
+async def conflict_response(
     outcome: ChangeConflict, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
-    """Return the answer that tells who else changed what."""
+    """Return the response to a conflict, with the other change."""
     ports.timeline.record(
         EventKind.CONFIG_CONFLICT,
         resource=f"{request.kind}/{request.name}",
@@ -111,7 +116,7 @@
     )
     label = f"{request.kind} {request.name}"
     if outcome.current is None:
-        return error_answer(
+        return error_response(
             PRECONDITION_FAILED,
             "conflict",
             f"{label} does not exist any more, or not yet",
@@ -120,7 +125,7 @@
         )
     changed = await changed_since(ports, request, outcome)
     author = outcome.actor or "somebody"
-    return error_answer(
+    return error_response(
         PRECONDITION_FAILED,
         "conflict",
         f"{label} was changed by {author} to version {outcome.version}",
@@ -133,18 +138,18 @@
     )
 
 
-@answer.register
-async def answer_unavailable(
+@write_response.register
+async def unavailable_write_response(
     outcome: StoreUnavailable, ports: OperatorPorts, request: WriteRequest
 ) -> web.Response:
-    """Return the answer to a write that the store did not settle."""
-    return unavailable_answer(outcome.maybe_applied, outcome.detail)
+    """Return the response to a write that the store did not confirm."""
+    return store_unavailable_response(outcome.maybe_applied, outcome.detail)
 
 
 async def changed_since(
     ports: OperatorPorts, request: WriteRequest, conflict: ChangeConflict
 ) -> list[dict[str, Any]]:
-    """Return what differs from the version that the writer knew."""
+    """Return the differences from the version that the writer expected."""
     if not request.expected or conflict.current is None:
         return []
     base = await read_change(ports.store, request.expected)
@@ -154,19 +159,22 @@
     return list(differences(before, conflict.current.get("spec", {})))
 
 
-async def in_force_here(ports: OperatorPorts, version: int) -> None:
-    """Wait for a version, so that this proxy's next answer shows it."""
+async def wait_until_applied(ports: OperatorPorts, version: int) -> None:
+    """Wait for a version, so that the next read here returns it.
+
+    Returns after LOCAL_APPLY_TIMEOUT_SECONDS even without the version.
+    """
     try:
-        async with asyncio.timeout(IN_FORCE_HERE_SECONDS):
+        async with asyncio.timeout(LOCAL_APPLY_TIMEOUT_SECONDS):
             await ports.follower.read_up_to(version)
     except TimeoutError:
         return
 
 
-def success(
+def success_response(
     request: WriteRequest, version: int, actor: str, changed: bool
 ) -> web.Response:
-    """Return the answer to a write that stands."""
+    """Return the response to a successful write."""
     document: dict[str, Any] = {
         "kind": str(request.kind),
         "metadata": {"name": request.name},
@@ -183,20 +191,20 @@
 
 
 def row_body(resource: Resource) -> dict[str, Any]:
-    """Return the row of a resource, without its version."""
+    """Return the row to store for a resource, without its version."""
     return {"spec": to_json_value(resource.spec)}
 
 
 def missing_reference(
     resource: Resource, configuration: Configuration
 ) -> web.Response | None:
-    """Return the refusal of a server whose group does not exist."""
+    """Return an error response if a server's group does not exist."""
     spec = resource.spec
     if not isinstance(spec, BackendServerSpec):
         return None
     if spec.group in configuration.groups:
         return None
-    return error_answer(
+    return error_response(
         CONFLICT,
         "missing_reference",
         f"spec.group: there is no DatabaseGroup {spec.group}",
@@ -207,13 +215,13 @@
 def still_referenced(
     kind: Kind, name: str, configuration: Configuration
 ) -> web.Response | None:
-    """Return the refusal to delete a group that has servers."""
+    """Return an error response if a group still has servers."""
     if kind is not Kind.DATABASE_GROUP:
         return None
     servers = [server.name for server in configuration.servers_of(name)]
     if not servers:
         return None
-    return error_answer(
+    return error_response(
         CONFLICT,
         "still_referenced",
         f"DatabaseGroup {name} has the servers {', '.join(servers)}",
@@ -221,12 +229,14 @@
     )
 
 
-def view(ports: OperatorPorts, kind: Kind, name: str) -> web.Response:
-    """Return the answer that shows a resource."""
+def resource_response(
+    ports: OperatorPorts, kind: Kind, name: str
+) -> web.Response:
+    """Return the response with a resource."""
     entry = ports.follower.configuration.entries.get((kind, name))
     if entry is None:
         hint = f"jackdawcrankctl get {kind} lists what there is"
-        return missing_answer(f"{kind} {name}", hint)
+        return not_found_response(f"{kind} {name}", hint)
     status = ports.resource_status(kind, name)
     document = resource_view(kind, name, entry, status)
     headers = {"ETag": f'"{entry.version}"'}
