--- a/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/execution/home_group.py
@@ -13,7 +13,7 @@
 from jackdawcrank.execution.statement_runner import StatementRunner
 from jackdawcrank.execution.transactions import Transactions
 from jackdawcrank.execution.write_path import WritePath
-from jackdawcrank.front.values import single_text
+from jackdawcrank.front.values import make_text_rows
 from jackdawcrank.results import result_error
 from jackdawcrank_policy.admission import (
     GroupAdmission,
@@ -272,7 +272,7 @@
 ) -> StatementResult:
     names = ("request_id", "outcome", "affected_rows", "last_insert_id")
     if record is None:
-        return single_text(names, ((request_id, "not_found", "", ""),))
+        return make_text_rows(names, ((request_id, "not_found", "", ""),))
     result: RequestResult = record.result
     values = (
         request_id,
@@ -280,7 +280,7 @@
         str(result.affected_rows),
         str(result.last_insert_id),
     )
-    return single_text(names, (values,))
+    return make_text_rows(names, (values,))
 
 
 def _do_nothing() -> None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/binary_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/binary_rows.py
@@ -47,8 +47,8 @@
     parts = []
     for index, value in enumerate(row):
         if value is None:
-            place = index + NULL_BITMAP_OFFSET
-            bitmap[place // 8] |= 1 << place % 8
+            bit_index = index + NULL_BITMAP_OFFSET
+            bitmap[bit_index // 8] |= 1 << bit_index % 8
         else:
             parts.append(_encode(encoders[index], value))
     return b"\x00" + bytes(bitmap) + b"".join(parts)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/bounded_reader.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/bounded_reader.py
@@ -17,14 +17,14 @@
 
     Attributes:
       max_bytes: The longest command, in bytes.
-      packet_seconds: The longest that the rest of a packet may take.
+      packet_timeout_seconds: The longest that the rest of a packet may take.
       on_eof: Called when the caller has closed its side.
     """
 
-    def __init__(self, max_bytes: int, packet_seconds: float) -> None:
+    def __init__(self, max_bytes: int, packet_timeout_seconds: float) -> None:
         super().__init__()
         self.max_bytes = max_bytes
-        self.packet_seconds = packet_seconds
+        self.packet_timeout_seconds = packet_timeout_seconds
         self.command_bytes = 0
         self.on_eof: Callable[[], None] = lambda: None
 
@@ -48,7 +48,7 @@
         if len(header) < HEADER_BYTES:
             rest = HEADER_BYTES - len(header)
             header += await self.readexactly(rest)
-        self._count(int.from_bytes(header, "little") & LENGTH_MASK)
+        self._check_command_size(int.from_bytes(header, "little") & LENGTH_MASK)
         return header
 
     async def readexactly(self, n: int) -> bytes:
@@ -62,10 +62,10 @@
         """
         if len(self._buffer) >= n:  # type: ignore[attr-defined]
             return await super().readexactly(n)
-        async with asyncio.timeout(self.packet_seconds):
+        async with asyncio.timeout(self.packet_timeout_seconds):
             return await super().readexactly(n)
 
-    def _count(self, length: int) -> None:
+    def _check_command_size(self, length: int) -> None:
         self.command_bytes += length
         if self.command_bytes > self.max_bytes:
             raise StatementTooLarge(f"longer than {self.max_bytes} bytes")
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_connection.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_connection.py
@@ -29,7 +29,7 @@
     column_packet,
     end_packet,
     error_packet,
-    framed,
+    frame_packet,
     ok_packet,
 )
 from jackdawcrank.front.prepared_text import split_placeholders
@@ -84,12 +84,12 @@
         self.login_timeout_seconds = login_timeout_seconds
         self.status_flags = ServerStatus.SERVER_STATUS_AUTOCOMMIT
         self.prepared: dict[int, Prepared] = {}
-        self.known_capabilities = self.capabilities
-        self.has_deprecate_eof = False
+        self.cached_capabilities = self.capabilities
+        self.cached_deprecate_eof = False
         self.busy = False
         self.closing = False
         self.logged_in = False
-        reader.on_eof = self._caller_vanished
+        reader.on_eof = self._caller_disconnected
 
     async def serve(self) -> None:
         """Serve the caller until either side closes."""
@@ -136,7 +136,7 @@
             finally:
                 self.busy = False
                 self.stream.reset_seq()
-        await self._say_goodbye()
+        await self._send_shutdown_error()
 
     async def drain(self) -> bool:
         """Close at the next statement boundary; return whether that is now.
@@ -144,11 +144,11 @@
         An open transaction may go on until it ends.
         """
         if self.busy or self.session.in_transaction:
-            self.session.on_boundary = self._close_at_boundary
+            self.session.on_statement_end = self._close_if_no_transaction
             return False
         self.closing = True
         if self.logged_in:
-            await self._say_goodbye()
+            await self._send_shutdown_error()
         return True
 
     async def handle_query(self, data: bytes) -> None:
@@ -287,10 +287,10 @@
 
     def deprecate_eof(self) -> bool:
         """Return whether the driver wants OK packets in place of EOF."""
-        if self.capabilities != self.known_capabilities:
-            self.known_capabilities = self.capabilities
-            self.has_deprecate_eof = bool(super().deprecate_eof())
-        return self.has_deprecate_eof
+        if self.capabilities != self.cached_capabilities:
+            self.cached_capabilities = self.capabilities
+            self.cached_deprecate_eof = bool(super().deprecate_eof())
+        return self.cached_deprecate_eof
 
     def _end(self, warnings: int) -> bytes:
         return end_packet(self.deprecate_eof(), self._status(), warnings)
@@ -360,19 +360,19 @@
         result = not_run("too_large", str(error), code=1153, sqlstate="08S01")
         await self.stream.write(error_packet(result))
 
-    async def _say_goodbye(self) -> None:
+    async def _send_shutdown_error(self) -> None:
         # A caller that sends a statement at this moment reads this as its
         # answer, and the statement is truly not run.
         packet = error_packet(shutting_down())
-        self.stream.writer.write(framed(packet, FIRST_ANSWER_SEQUENCE))
+        self.stream.writer.write(frame_packet(packet, FIRST_ANSWER_SEQUENCE))
         await self.stream.writer.drain()
 
-    def _close_at_boundary(self) -> None:
+    def _close_if_no_transaction(self) -> None:
         self.closing = not self.session.in_transaction
 
-    def _caller_vanished(self) -> None:
+    def _caller_disconnected(self) -> None:
         if self.logged_in:
-            self.session.caller_vanished()
+            self.session.caller_disconnected()
 
 
 _HANDLERS = {
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_session.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_session.py
@@ -40,11 +40,11 @@
       router: Runs the session's statements.
       database: The database group, as the driver calls it.
       username: The user name once logged in, else None.
-      own: What SET statements have changed.
+      session_variables: What SET statements have changed.
       transaction: The open transaction, if there is one.
       progress: What the session has seen.
       last_insert_id: The key that the last insert generated.
-      on_boundary: Called after each statement.
+      on_statement_end: Called after each statement.
     """
 
     def __init__(self, session_id: str, router: StatementRouter) -> None:
@@ -53,19 +53,19 @@
         self.variables = DriverVariables(_GLOBAL_VARIABLES)
         self.database: str | None = None
         self.username: str | None = None
-        self.own = SessionVariables()
+        self.session_variables = SessionVariables()
         self.transaction: Transaction | None = None
         self.transaction_numbers = itertools.count(1)
         self.progress = SessionProgress(router)
         self.last_insert_id = 0
-        self.running: asyncio.Task[object] | None = None
-        self.running_writes = False
-        self.on_boundary: Callable[[], None] = lambda: None
+        self.running_task: asyncio.Task[object] | None = None
+        self.running_may_commit = False
+        self.on_statement_end: Callable[[], None] = lambda: None
 
     @property
     def autocommit(self) -> bool:
         """Return whether each statement commits by itself."""
-        return self.own.autocommit
+        return self.session_variables.autocommit
 
     @property
     def in_transaction(self) -> bool:
@@ -88,7 +88,7 @@
     async def reset(self) -> None:
         """Roll back and forget variables, as for a new connection."""
         await self.end_transaction(StatementKind.ROLLBACK)
-        self.own = SessionVariables()
+        self.session_variables = SessionVariables()
         self.last_insert_id = 0
         self.progress.forget()
 
@@ -96,13 +96,13 @@
         """Roll back what the caller left open."""
         await self.end_transaction(StatementKind.ROLLBACK)
 
-    def caller_vanished(self) -> None:
+    def caller_disconnected(self) -> None:
         """Stop what runs for a caller that has gone.
 
         A write that commits by itself is let run, since it may be under way.
         """
-        if self.running is not None and not self.running_writes:
-            self.running.cancel()
+        if self.running_task is not None and not self.running_may_commit:
+            self.running_task.cancel()
 
     def begin_transaction(self, read_only: bool = False) -> None:
         """Open a transaction; a server hears of it with its first statement.
@@ -126,7 +126,7 @@
         transaction = self.transaction
         if transaction is None:
             return ResultOk()
-        if not transaction.begun or transaction.broken:
+        if not transaction.begun or transaction.loss_reason:
             self.transaction = None
             return ResultOk()
         try:
@@ -134,13 +134,13 @@
         finally:
             self.transaction = None
 
-    def drop_broken_transaction(self) -> ResultError | None:
+    def discard_lost_transaction(self) -> ResultError | None:
         """End a transaction that was lost, and return the error for it."""
         transaction = self.transaction
-        if transaction is None or not transaction.broken:
+        if transaction is None or not transaction.loss_reason:
             return None
         self.transaction = None
-        error = lost_transaction(transaction.broken)
+        error = lost_transaction(transaction.loss_reason)
         return attrs.evolve(error, reason="transaction_lost")
 
     async def send(
@@ -157,15 +157,17 @@
         if not self.router.knows_group(group):
             return self._unknown_group(group)
         refusal = self.progress.merge(group, options)
-        refusal = refusal or self.progress.check_room(group)
+        refusal = refusal or self.progress.check_group_limit(group)
         if refusal is not None:
             return refusal
         request = self._request(kind, sql, options, group)
         if isinstance(request, ResultError):
             return request
-        return await self._admitted(request)
+        return await self._admit_and_run(request)
 
-    async def settle_last_read(self, options: Options) -> ResultError | None:
+    async def fetch_last_read_position(
+        self, options: Options
+    ) -> ResultError | None:
         """Learn the position that the last read has shown, for the token.
 
         Args:
@@ -174,14 +176,16 @@
         group = self.database or ""
         if group not in self.progress.last_reads:
             return None
-        asked = Options(deadline_ms=options.deadline_ms)
-        result = await self.send(StatementKind.POSITION, "", asked)
+        position_options = Options(deadline_ms=options.deadline_ms)
+        result = await self.send(StatementKind.POSITION, "", position_options)
         if isinstance(result, ResultError):
             return result
         self.progress.last_reads.pop(group, None)
         return None
 
-    async def _admitted(self, request: StatementRequest) -> StatementResult:
+    async def _admit_and_run(
+        self, request: StatementRequest
+    ) -> StatementResult:
         user = self.username or ""
         refusal = self.router.admit(user)
         if refusal is not None:
@@ -195,13 +199,13 @@
 
     async def _run(self, request: StatementRequest) -> StatementResult:
         writes = request.kind is StatementKind.WRITE
-        self.running_writes = writes and not request.transaction_id
-        self.running_writes |= request.kind is StatementKind.COMMIT
-        self.running = asyncio.current_task()
+        self.running_may_commit = writes and not request.transaction_id
+        self.running_may_commit |= request.kind is StatementKind.COMMIT
+        self.running_task = asyncio.current_task()
         try:
             return await self.router.execute(request)
         finally:
-            self.running = None
+            self.running_task = None
 
     def _request(
         self, kind: StatementKind, sql: str, options: Options, group: str
@@ -221,7 +225,7 @@
             caller_class=self.router.caller_class(self.username or ""),
             session_id=self.session_id,
             transaction_id=transaction.transaction_id if transaction else "",
-            token=self.progress.bound(group, options),
+            token=self.progress.minimum_position(group, options),
             max_age_ms=options.max_age_ms,
             request_id=options.request_id,
             repeatable=options.repeatable is not False,
@@ -230,7 +234,7 @@
             last_server=last_read.server if last_read else "",
             last_read_age_ms=last_read.age_ms() if last_read else None,
             last_read_term=last_read.term if last_read else 0,
-            setup=self.own.setup,
+            setup=self.session_variables.setup,
             begun=transaction is not None and transaction.begun,
         )
 
@@ -239,7 +243,7 @@
     ) -> None:
         transaction = self.transaction
         if transaction is not None and request.transaction_id:
-            _follow_transaction(transaction, result)
+            _update_transaction(transaction, result)
         if isinstance(result, ResultOk) and result.last_insert_id:
             self.last_insert_id = result.last_insert_id
         self.progress.record(request.group, result)
@@ -254,12 +258,12 @@
         return result_error(NotRun(NotRunReason.UNKNOWN_GROUP, detail))
 
 
-def _follow_transaction(
+def _update_transaction(
     transaction: Transaction, result: StatementResult
 ) -> None:
     if result.in_transaction:
         transaction.begun = True
     elif isinstance(result, ResultError):
-        not_run_yet = result.outcome is StatementOutcome.NOT_RUN
-        if transaction.begun or not not_run_yet:
-            transaction.broken = result.message or "connection lost"
+        was_not_run = result.outcome is StatementOutcome.NOT_RUN
+        if transaction.begun or not was_not_run:
+            transaction.loss_reason = result.message or "connection lost"
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/execute_command.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/execute_command.py
@@ -137,14 +137,14 @@
 def _read_types(
     reader: ParameterReader,
     count: int,
-    bound: tuple[ParameterType, ...],
+    bound_types: tuple[ParameterType, ...],
     named: bool,
 ) -> tuple[tuple[ParameterType, ...], bytes]:
     nulls = reader.take((count + 7) // 8)
     if not reader.number(1):
-        if len(bound) != count:
+        if len(bound_types) != count:
             raise MalformedParameters("no parameter types were bound")
-        return bound, nulls
+        return bound_types, nulls
     types = tuple(reader.parameter_type(named) for _ in range(count))
     return types, nulls
 
@@ -174,11 +174,11 @@
         if _is_null(nulls, index):
             continue
         literal = reader.literal(types[index])
-        attributes[types[index].name] = _plain(literal)
+        attributes[types[index].name] = _unquote(literal)
     return attributes
 
 
-def _plain(literal: str) -> str:
+def _unquote(literal: str) -> str:
     return literal[1:-1] if literal.startswith("'") else literal
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/front_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/front_server.py
@@ -13,7 +13,7 @@
 from jackdawcrank.front.caller_connection import CallerConnection
 from jackdawcrank.front.caller_session import CallerSession
 from jackdawcrank.front.logins import Logins
-from jackdawcrank.front.packets import error_packet, framed
+from jackdawcrank.front.packets import error_packet, frame_packet
 from jackdawcrank.front.statement_router import StatementRouter
 from jackdawcrank.results.errors import not_run
 from jackdawcrank_wire.settings import CallerLogin
@@ -52,7 +52,7 @@
         self.max_statement_bytes = max_statement_bytes
         self.max_connections = max_connections
         self.login_timeout_seconds = login_timeout_seconds
-        self.numbers = itertools.count(1)
+        self.connection_ids = itertools.count(1)
         self.connections: dict[CallerConnection, asyncio.Task[None]] = {}
         self.server: asyncio.Server | None = None
         self.draining = False
@@ -82,7 +82,7 @@
         self.draining = True
         self._stop_listening()
         for connection, task in list(self.connections.items()):
-            if await self._drain_one(connection):
+            if await self._drain_connection(connection):
                 asyncio.get_running_loop().call_later(
                     LINGER_SECONDS, task.cancel
                 )
@@ -94,7 +94,7 @@
             task.cancel()
         return len(pending)
 
-    async def _drain_one(self, connection: CallerConnection) -> bool:
+    async def _drain_connection(self, connection: CallerConnection) -> bool:
         try:
             return await connection.drain()
         except OSError:
@@ -107,9 +107,9 @@
 
     def _make_protocol(self) -> asyncio.StreamReaderProtocol:
         reader = BoundedReader(self.max_statement_bytes, PACKET_TIMEOUT_SECONDS)
-        return asyncio.StreamReaderProtocol(reader, self._connected)
+        return asyncio.StreamReaderProtocol(reader, self._handle_connection)
 
-    async def _connected(
+    async def _handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         assert isinstance(reader, BoundedReader)
@@ -131,8 +131,10 @@
     def _make_connection(
         self, reader: BoundedReader, writer: asyncio.StreamWriter
     ) -> CallerConnection:
-        number = next(self.numbers) % MAX_CONNECTION_ID
-        session = CallerSession(f"{self.session_prefix}-{number}", self.router)
+        connection_id = next(self.connection_ids) % MAX_CONNECTION_ID
+        session = CallerSession(
+            f"{self.session_prefix}-{connection_id}", self.router
+        )
         connection = CallerConnection(
             reader,
             self.login_timeout_seconds,
@@ -141,12 +143,12 @@
             control=Control(),
             identity_provider=self.logins,
         )
-        connection.connection_id = number
+        connection.connection_id = connection_id
         return connection
 
     async def _refuse(self, writer: asyncio.StreamWriter) -> None:
         error = not_run("overloaded", "Too many connections", 1040, "08004")
         with contextlib.suppress(OSError):
-            writer.write(framed(error_packet(error), 0))
+            writer.write(frame_packet(error_packet(error), 0))
             await writer.drain()
         writer.close()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/logins.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/logins.py
@@ -7,7 +7,7 @@
 
 from jackdawcrank_wire.settings import CallerLogin
 
-NOBODY_PASSWORD_BYTES = 16
+UNKNOWN_USER_PASSWORD_BYTES = 16
 
 
 class Logins(IdentityProvider):
@@ -25,9 +25,9 @@
             for login in logins
         }
         # An unknown user fails like a wrong password, so names stay private.
-        self.nobody = User(
+        self.unknown_user = User(
             name="",
-            auth_string=create(secrets.token_hex(NOBODY_PASSWORD_BYTES)),
+            auth_string=create(secrets.token_hex(UNKNOWN_USER_PASSWORD_BYTES)),
             auth_plugin=self.plugin.name,
         )
 
@@ -41,4 +41,4 @@
         Args:
           username: The name that a caller gave.
         """
-        return self.users.get(username, self.nobody)
+        return self.users.get(username, self.unknown_user)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/packets.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/packets.py
@@ -50,8 +50,8 @@
         column.decimals,
         0,
     )
-    named = b"".join(str_len(text.encode()) for text in texts)
-    return named + uint_1(FIXED_FIELDS_LENGTH) + fixed
+    encoded_texts = b"".join(str_len(text.encode()) for text in texts)
+    return encoded_texts + uint_1(FIXED_FIELDS_LENGTH) + fixed
 
 
 def ok_packet(
@@ -74,15 +74,15 @@
     return bytes(packet) + result.info.encode()
 
 
-def end_packet(is_ok: bool, status: int, warnings: int) -> bytes:
+def end_packet(use_ok_packet: bool, status: int, warnings: int) -> bytes:
     """Return the packet that ends rows.
 
     Args:
-      is_ok: Whether the driver wants an OK packet in place of EOF.
+      use_ok_packet: Whether the driver wants an OK packet in place of EOF.
       status: The connection's status flags.
       warnings: The number of warnings.
     """
-    if is_ok:
+    if use_ok_packet:
         return _END_OK.pack(END_HEADER, 0, 0, status, warnings)
     return _END_EOF.pack(END_HEADER, warnings, status)
 
@@ -112,7 +112,7 @@
     return b"\xff" + uint_2(error.code) + b"#" + state + text
 
 
-def framed(packet: bytes, sequence: int) -> bytes:
+def frame_packet(packet: bytes, sequence: int) -> bytes:
     """Return a packet with its header.
 
     Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
@@ -60,7 +60,7 @@
         self.token = SessionToken()
         self.last_reads.clear()
 
-    def check_room(self, group: str) -> ResultError | None:
+    def check_group_limit(self, group: str) -> ResultError | None:
         """Refuse a group for which the token has no room.
 
         Args:
@@ -70,7 +70,7 @@
             return None
         return not_run("bad_option", "the session has too many groups")
 
-    def bound(self, group: str, options: Options) -> str:
+    def minimum_position(self, group: str, options: Options) -> str:
         """Return the position that a read has to see, as text, or nothing.
 
         Args:
@@ -94,13 +94,15 @@
         """
         if not options.session:
             return None
-        given = self.router.verify(options.session)
-        if isinstance(given, InvalidToken):
-            return not_run("bad_option", f"session: {given.detail}", 1210)
-        refusal = self.check_room(group)
+        stated_token = self.router.verify(options.session)
+        if isinstance(stated_token, InvalidToken):
+            return not_run(
+                "bad_option", f"session: {stated_token.detail}", 1210
+            )
+        refusal = self.check_group_limit(group)
         if refusal is not None:
             return refusal
-        position = given.position(group)
+        position = stated_token.position(group)
         if position is not None:
             self.advance(group, position)
         return None
@@ -113,7 +115,7 @@
           result: The statement's result.
         """
         if isinstance(result, ResultError):
-            self._record_loss(group, result)
+            self._record_lost_write(group, result)
         elif isinstance(result, ResultOk):
             if result.position is not None:
                 self.advance(group, result.position)
@@ -139,7 +141,7 @@
                 branch = Branch((*branch.starts, start))
         self.token = self.token.advanced(group, position, branch)
 
-    def _record_loss(self, group: str, result: ResultError) -> None:
+    def _record_lost_write(self, group: str, result: ResultError) -> None:
         """Begin anew with what the caller was told is lost.
 
         The loss of a read may come first; a lost write of the session is
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_variables.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_variables.py
@@ -10,14 +10,14 @@
 from jackdawcrank_wire.messages import ResultError
 
 # Variables whose change is carried to the backend connection.
-CARRIED = frozenset(
+BACKEND_VARIABLES = frozenset(
     {"time_zone", "sql_mode", "group_concat_max_len", "lc_time_names"}
     | {"div_precision_increment", "max_execution_time", "sql_select_limit"}
     | {"foreign_key_checks", "unique_checks", "sql_safe_updates"}
     | {"collation_connection", "innodb_lock_wait_timeout"}
 )
 # Variables that concern the caller's own connection only.
-ACCEPTED = frozenset(
+IGNORED_VARIABLES = frozenset(
     {"character_set_results", "character_set_client", "wait_timeout"}
     | {"character_set_connection", "net_write_timeout", "net_read_timeout"}
     | {"interactive_timeout", "sql_auto_is_null", "names"}
@@ -29,7 +29,7 @@
     {"ANSI", "ANSI_QUOTES", "NO_BACKSLASH_ESCAPES"}
     | {"DB2", "MAXDB", "MSSQL", "ORACLE", "POSTGRESQL"}
 )
-_PLAIN_MODES = re.compile(r"(['\"])([A-Za-z0-9_, ]*)\1")
+_SQL_MODE_LITERAL = re.compile(r"(['\"])([A-Za-z0-9_, ]*)\1")
 ON_VALUES = frozenset({"1", "on", "true"})
 OFF_VALUES = frozenset({"0", "off", "false"})
 
@@ -41,17 +41,19 @@
     Attributes:
       autocommit: Whether each statement commits by itself.
       defaults: Options for statements that state none of their own.
-      carried: The items to set on a backend connection, by name.
+      backend_settings: The items to set on a backend connection, by name.
     """
 
     autocommit: bool = True
     defaults: Options = NO_OPTIONS
-    carried: dict[str, str] = attrs.field(factory=dict)
+    backend_settings: dict[str, str] = attrs.field(factory=dict)
 
     @property
     def setup(self) -> tuple[str, ...]:
         """Return the statements that prepare a backend connection."""
-        return tuple(f"SET SESSION {item}" for item in self.carried.values())
+        return tuple(
+            f"SET SESSION {item}" for item in self.backend_settings.values()
+        )
 
     def assign(self, item: Assignment) -> ResultError | None:
         """Take over one item of a SET statement, or refuse it.
@@ -67,12 +69,12 @@
             return self._assign_autocommit(item)
         if item.name == "names" or item.name.startswith("character_set"):
             return self._check_charset(item)
-        if item.name in CARRIED:
-            return self._carry(item)
-        if item.name in ACCEPTED:
+        if item.name in BACKEND_VARIABLES:
+            return self._set_backend_variable(item)
+        if item.name in IGNORED_VARIABLES:
             return None
         if item.name == "transaction":
-            return self._carry_transaction(item)
+            return self._set_transaction_mode(item)
         return not_supported(f"SET {item.name}")
 
     def _assign_option(self, item: Assignment) -> ResultError | None:
@@ -103,27 +105,27 @@
             return None
         return not_supported("a character set other than utf8mb4")
 
-    def _carry(self, item: Assignment) -> ResultError | None:
+    def _set_backend_variable(self, item: Assignment) -> ResultError | None:
         name = item.name
         value = item.text.partition("=")[2].strip()
-        if name == "sql_mode" and not _keeps_quoting(value):
+        if name == "sql_mode" and not _preserves_quoting(value):
             return not_supported("a sql_mode that changes quoting")
-        self.carried[name] = f"{name} = {value}"
+        self.backend_settings[name] = f"{name} = {value}"
         return None
 
-    def _carry_transaction(self, item: Assignment) -> ResultError | None:
+    def _set_transaction_mode(self, item: Assignment) -> ResultError | None:
         if not item.text.lower().startswith(("session", "local")):
             return not_supported("SET TRANSACTION without SESSION")
         body = item.text.split(None, 1)[1]
-        self.carried["transaction"] = body
+        self.backend_settings["transaction"] = body
         return None
 
 
-def _keeps_quoting(mode: str) -> bool:
+def _preserves_quoting(mode: str) -> bool:
     """Return whether a value of sql_mode surely leaves quoting as it is."""
     if mode.lower() == "default":
         return True
-    match = _PLAIN_MODES.fullmatch(mode)
+    match = _SQL_MODE_LITERAL.fullmatch(mode)
     if match is None:
         return False
     modes = {name.strip().upper() for name in match[2].split(",")}
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_handlers.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable, Mapping
 
 from jackdawcrank.front.caller_session import CallerSession
-from jackdawcrank.front.values import single_number, single_text
+from jackdawcrank.front.values import make_number_row, make_text_rows
 from jackdawcrank.results.errors import not_run, not_supported, result_error
 from jackdawcrank.statements import (
     FrontKind,
@@ -42,24 +42,26 @@
     split = split_options(sql)
     if isinstance(split, MalformedOption):
         return _bad_option(split)
-    given = options_from_attributes(attributes)
-    if isinstance(given, MalformedOption):
-        return _bad_option(given)
-    options = given.over(split.options).over(session.own.defaults)
+    attribute_options = options_from_attributes(attributes)
+    if isinstance(attribute_options, MalformedOption):
+        return _bad_option(attribute_options)
+    options = attribute_options.over(split.options).over(
+        session.session_variables.defaults
+    )
     statement = classify(split.sql)
     try:
         handler = _HANDLERS[statement.kind]
         return await handler(session, statement, split.sql, options)
     finally:
-        session.on_boundary()
+        session.on_statement_end()
 
 
 async def _run_data(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
-    broken = session.drop_broken_transaction()
-    if broken is not None:
-        return broken
+    lost = session.discard_lost_transaction()
+    if lost is not None:
+        return lost
     if session.transaction is None and not session.autocommit:
         session.begin_transaction()
     if statement.stateful and session.transaction is None:
@@ -95,9 +97,9 @@
 async def _commit(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
-    broken = session.drop_broken_transaction()
-    if broken is not None:
-        return broken
+    lost = session.discard_lost_transaction()
+    if lost is not None:
+        return lost
     return await session.end_transaction(StatementKind.COMMIT, options)
 
 
@@ -115,7 +117,7 @@
         return not_supported("this form of SET")
     was_autocommit = session.autocommit
     for item in items:
-        refusal = session.own.assign(item)
+        refusal = session.session_variables.assign(item)
         if refusal is not None:
             return refusal
     if session.autocommit and not was_autocommit:
@@ -134,17 +136,17 @@
 ) -> StatementResult:
     if not is_request_id(statement.argument):
         return not_run("bad_option", "malformed request id", 1210)
-    asked = Options(
+    request_options = Options(
         request_id=statement.argument, deadline_ms=options.deadline_ms
     )
-    return await session.send(StatementKind.SHOW_REQUEST, sql, asked)
+    return await session.send(StatementKind.SHOW_REQUEST, sql, request_options)
 
 
 async def _show_warnings(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
     # Warnings stay with the pooled backend connection.
-    return single_text(("Level", "Code", "Message"), ())
+    return make_text_rows(("Level", "Code", "Message"), ())
 
 
 async def _session_token(
@@ -153,24 +155,24 @@
     refusal = session.progress.merge(session.database or "", options)
     if refusal is not None:
         return refusal
-    unsettled = await session.settle_last_read(options)
-    if unsettled is not None:
-        return unsettled
+    error = await session.fetch_last_read_position(options)
+    if error is not None:
+        return error
     text = session.router.sign(session.progress.token)
-    return single_text(("@@session_token",), ((text,),))
+    return make_text_rows(("@@session_token",), ((text,),))
 
 
 async def _last_insert_id(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
-    return single_number("last_insert_id()", session.last_insert_id)
+    return make_number_row("last_insert_id()", session.last_insert_id)
 
 
 async def _connection_id(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
     number = int(session.session_id.rpartition("-")[2])
-    return single_number("connection_id()", number)
+    return make_number_row("connection_id()", number)
 
 
 async def _empty(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/values.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/values.py
@@ -12,7 +12,7 @@
 NUMBER_LENGTH = 20
 
 
-def single_text(
+def make_text_rows(
     names: Sequence[str], rows: Sequence[Sequence[str]]
 ) -> ResultRows:
     """Return rows of text.
@@ -31,7 +31,7 @@
     return ResultRows(columns, encoded)
 
 
-def single_number(name: str, number: int) -> ResultRows:
+def make_number_row(name: str, number: int) -> ResultRows:
     """Return one row with one whole number.
 
     Args:
--- a/packages/jackdawcrank-proxy/tests/front/test_session_progress.py
+++ b/packages/jackdawcrank-proxy/tests/front/test_session_progress.py
@@ -30,7 +30,7 @@
     return SessionProgress(router)
 
 
-def test_lost_write_is_still_told_after_a_lost_read(
+def test_lost_write_is_still_reported_after_a_lost_read(
     progress: SessionProgress,
 ) -> None:
     progress.record(GROUP, ResultOk(position=Position(1, 7)))
--- a/packages/jackdawcrank-proxy/tests/front/test_session_variables.py
+++ b/packages/jackdawcrank-proxy/tests/front/test_session_variables.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("value", ["''", "'STRICT_ALL_TABLES'", "DEFAULT"])
-def test_other_modes_are_carried(value: str) -> None:
+def test_other_modes_are_set_on_the_backend(value: str) -> None:
     (item,) = parse_set(f"SET sql_mode = {value}") or ()
     variables = SessionVariables()
     assert variables.assign(item) is None
