--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/__init__.py
@@ -1,1 +1,1 @@
-"""The MySQL protocol front that callers connect to."""
+"""The MySQL protocol server that callers connect to."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/binary_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/binary_rows.py
@@ -1,4 +1,4 @@
-"""Turns text protocol values into the binary protocol's form."""
+"""Converts result values from the text to the binary protocol."""
 
 import re
 import struct
@@ -37,8 +37,8 @@
     """Return one row packet of the binary protocol.
 
     Args:
-      row: The values in text form; None is NULL.
-      encoders: One encoder for each column.
+      row: The values in text protocol form; None is NULL.
+      encoders: One encoder per column.
 
     Raises:
       MalformedParameters: A value does not fit its column's type.
@@ -58,7 +58,9 @@
     try:
         return encoder(value)
     except (ValueError, OverflowError, struct.error) as error:
-        raise MalformedParameters(f"not of its type: {value[:20]!r}") from error
+        raise MalformedParameters(
+            f"invalid column value: {value[:20]!r}"
+        ) from error
 
 
 def encoder_for(column: ColumnInfo) -> Encoder:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/bounded_reader.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/bounded_reader.py
@@ -1,4 +1,4 @@
-"""A stream reader that bounds what one caller can make the proxy hold."""
+"""A stream reader that limits how much data a caller can buffer."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,16 +9,17 @@
 
 
 class StatementTooLarge(Exception):
-    """A caller announced a longer statement than is allowed."""
+    """A caller announced a command above the size limit."""
 
 
 class BoundedReader(asyncio.StreamReader):
-    """Reads MySQL packets with a bound on length and on pauses inside one.
+    """Reads MySQL packets with a size limit and a packet timeout.
 
     Attributes:
-      max_bytes: The longest command, in bytes.
-      packet_timeout_seconds: The longest that the rest of a packet may take.
-      on_eof: Called when the caller has closed its side.
+      max_bytes: The maximum size of a command, in bytes.
+      packet_timeout_seconds: How long the rest of a started packet may take
+        to arrive, in seconds.
+      on_eof: Called when the caller closes its side of the connection.
     """
 
     def __init__(self, max_bytes: int, packet_timeout_seconds: float) -> None:
@@ -29,18 +30,18 @@
         self.on_eof: Callable[[], None] = lambda: None
 
     def feed_eof(self) -> None:
-        """Note the end of the stream and report it."""
+        """Mark the end of the stream and call `on_eof`."""
         super().feed_eof()
         self.on_eof()
 
     async def read(self, n: int = -1) -> bytes:
-        """Return a packet header, or nothing at the end of the stream.
+        """Return a packet header, or no bytes at the end of the stream.
 
         Args:
-          n: The number of bytes, which for a header is four.
+          n: The number of bytes; four for a packet header.
 
         Raises:
-          StatementTooLarge: The announced packet passes the bound.
+          StatementTooLarge: The command exceeds `max_bytes`.
         """
         header = await super().read(n)
         if n != HEADER_BYTES or not header:
@@ -52,13 +53,13 @@
         return header
 
     async def readexactly(self, n: int) -> bytes:
-        """Return the next bytes, which must arrive without a long pause.
+        """Return the next bytes, waiting at most `packet_timeout_seconds`.
 
         Args:
           n: The number of bytes.
 
         Raises:
-          TimeoutError: The bytes took too long.
+          TimeoutError: The bytes did not arrive in time.
         """
         if len(self._buffer) >= n:  # type: ignore[attr-defined]
             return await super().readexactly(n)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_connection.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_connection.py
@@ -1,4 +1,4 @@
-"""One caller's MySQL connection."""
+"""MySQL connection of one caller."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -45,8 +45,8 @@
 ROWS_PER_WRITE = 500
 MAX_PREPARED_STATEMENTS = 1024
 FIRST_ANSWER_SEQUENCE = 1
-# The status flags by autocommit and open transaction, since combining flags
-# is slow.
+# Status flags by autocommit and open transaction. They are precomputed because
+# combining enum flags is slow.
 _STATUS = {
     (autocommit, in_transaction): ServerStatus(
         autocommit * ServerStatus.SERVER_STATUS_AUTOCOMMIT
@@ -59,7 +59,7 @@
 
 
 class LoginRefused(Exception):
-    """A caller did not log in."""
+    """A caller failed to authenticate."""
 
 
 class CallerConnection(Connection):
@@ -68,7 +68,7 @@
     Attributes:
       session: The caller's session.
       busy: Whether a command is being served.
-      closing: Whether the connection closes after the present command.
+      closing: Whether the connection closes after the current command.
     """
 
     session: CallerSession
@@ -108,10 +108,10 @@
             await self.session.close()
 
     async def authenticate(self, *args: Any, **kwargs: Any) -> None:
-        """Log the caller in.
+        """Authenticate the caller.
 
         Raises:
-          LoginRefused: The caller gave no valid login.
+          LoginRefused: The user name or password is wrong.
         """
         self.session.username = None
         await super().authenticate(*args, **kwargs)
@@ -119,7 +119,7 @@
             raise LoginRefused("wrong user name or password")
 
     async def command_phase(self) -> None:
-        """Serve commands one after the other."""
+        """Serve commands until the connection closes."""
         while not self.closing:
             try:
                 data = await self.stream.read()
@@ -127,7 +127,7 @@
                 await self._refuse_too_large(error)
                 return
             if self.closing:
-                # The goodbye that was sent meanwhile has refused it.
+                # The shutdown error sent in the meantime answers this command.
                 return
             self.busy = True
             try:
@@ -139,9 +139,10 @@
         await self._send_shutdown_error()
 
     async def drain(self) -> bool:
-        """Close at the next statement boundary; return whether that is now.
+        """Close the connection after the current statement or transaction.
 
-        An open transaction may go on until it ends.
+        Returns whether the connection was idle and is closing now. An open
+        transaction may continue until it ends.
         """
         if self.busy or self.session.in_transaction:
             self.session.on_statement_end = self._close_if_no_transaction
@@ -152,7 +153,7 @@
         return True
 
     async def handle_query(self, data: bytes) -> None:
-        """Serve a statement in the text protocol.
+        """Run a statement and answer in the text protocol.
 
         Args:
           data: The command without its first byte.
@@ -183,7 +184,7 @@
         await self.stream.drain()
 
     async def handle_stmt_close(self, data: bytes) -> None:
-        """Forget a prepared statement.
+        """Discard a prepared statement.
 
         Args:
           data: The command without its first byte.
@@ -193,7 +194,7 @@
         self.prepared.pop(number, None)
 
     async def handle_stmt_send_long_data(self, data: bytes) -> None:
-        """Take a part of a parameter's value ahead of the execution.
+        """Store a chunk of a parameter value sent before the execution.
 
         Args:
           data: The command without its first byte.
@@ -227,7 +228,7 @@
             await self._write_binary_rows(result)
 
     async def handle_stmt_reset(self, data: bytes) -> None:
-        """Forget a prepared statement's parameters and cursor.
+        """Discard a prepared statement's long data and cursor.
 
         Args:
           data: The command without its first byte.
@@ -238,7 +239,7 @@
         await self.stream.write(self.ok())
 
     async def handle_reset_connection(self, data: bytes) -> None:
-        """Roll back and forget the session's variables.
+        """Roll back and reset the session's state.
 
         Args:
           data: The command without its first byte.
@@ -249,7 +250,7 @@
         await self.stream.write(self.ok())
 
     async def handle_field_list(self, data: bytes) -> None:
-        """Refuse the removed COM_FIELD_LIST.
+        """Reject COM_FIELD_LIST, which MySQL has removed.
 
         Args:
           data: The command without its first byte.
@@ -258,7 +259,7 @@
         await self.stream.write(error_packet(error))
 
     async def handle_init_db(self, data: bytes) -> None:
-        """Change the database group.
+        """Select a database group.
 
         Args:
           data: The command without its first byte.
@@ -286,7 +287,7 @@
         return bytes(super().eof(**kwargs))
 
     def deprecate_eof(self) -> bool:
-        """Return whether the driver wants OK packets in place of EOF."""
+        """Return whether the driver expects OK instead of EOF packets."""
         if self.capabilities != self.cached_capabilities:
             self.cached_capabilities = self.capabilities
             self.cached_deprecate_eof = bool(super().deprecate_eof())
@@ -361,8 +362,8 @@
         await self.stream.write(error_packet(result))
 
     async def _send_shutdown_error(self) -> None:
-        # A caller that sends a statement at this moment reads this as its
-        # answer, and the statement is truly not run.
+        # A caller that sends a statement at the same time takes this packet as
+        # its answer. That is correct: the statement is not run.
         packet = error_packet(shutting_down())
         self.stream.writer.write(frame_packet(packet, FIRST_ANSWER_SEQUENCE))
         await self.stream.writer.drain()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_session.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_session.py
@@ -1,4 +1,4 @@
-"""The state of one caller's connection and the way of its statements."""
+"""Session state of one caller connection."""
 
 import asyncio
 import itertools
@@ -33,16 +33,16 @@
 
 
 class CallerSession(BaseSession):
-    """One caller's session.
+    """Session of one caller, which sends its statements to the router.
 
     Attributes:
-      session_id: An id that is unique over all VMs and restarts.
-      router: Runs the session's statements.
-      database: The database group, as the driver calls it.
-      username: The user name once logged in, else None.
-      session_variables: What SET statements have changed.
+      session_id: An id that is unique across all VMs and restarts.
+      router: Runs the session's statements on the home proxies.
+      database: The selected database group (the driver's database name).
+      username: The authenticated user name; None before login.
+      session_variables: The variables that SET statements have changed.
       transaction: The open transaction, if there is one.
-      progress: What the session has seen.
+      progress: The positions that the session has observed.
       last_insert_id: The key that the last insert generated.
       on_statement_end: Called after each statement.
     """
@@ -73,7 +73,7 @@
         return self.transaction is not None
 
     async def use_group(self, name: str) -> StatementResult:
-        """Change the database group.
+        """Select a database group.
 
         Args:
           name: The group's name.
@@ -86,26 +86,29 @@
         return ResultOk()
 
     async def reset(self) -> None:
-        """Roll back and forget variables, as for a new connection."""
+        """Roll back and reset the state to that of a new connection."""
         await self.end_transaction(StatementKind.ROLLBACK)
         self.session_variables = SessionVariables()
         self.last_insert_id = 0
         self.progress.forget()
 
     async def close(self) -> None:
-        """Roll back what the caller left open."""
+        """Roll back the open transaction, if there is one."""
         await self.end_transaction(StatementKind.ROLLBACK)
 
     def caller_disconnected(self) -> None:
-        """Stop what runs for a caller that has gone.
+        """Cancel the running statement of a caller that has disconnected.
 
-        A write that commits by itself is let run, since it may be under way.
+        An autocommit write or a COMMIT is not cancelled, because the backend
+        server may already be executing it.
         """
         if self.running_task is not None and not self.running_may_commit:
             self.running_task.cancel()
 
     def begin_transaction(self, read_only: bool = False) -> None:
-        """Open a transaction; a server hears of it with its first statement.
+        """Open a transaction.
+
+        The backend server opens it with the transaction's first statement.
 
         Args:
           read_only: Whether the caller declared that it only reads.
@@ -121,7 +124,7 @@
 
         Args:
           kind: COMMIT or ROLLBACK.
-          options: The options of the statement that ends it.
+          options: The options of the COMMIT or ROLLBACK statement.
         """
         transaction = self.transaction
         if transaction is None:
@@ -135,7 +138,7 @@
             self.transaction = None
 
     def discard_lost_transaction(self) -> ResultError | None:
-        """End a transaction that was lost, and return the error for it."""
+        """Discard a lost transaction and return the error for the caller."""
         transaction = self.transaction
         if transaction is None or not transaction.loss_reason:
             return None
@@ -168,10 +171,10 @@
     async def fetch_last_read_position(
         self, options: Options
     ) -> ResultError | None:
-        """Learn the position that the last read has shown, for the token.
+        """Query the position of the last read and add it to the token.
 
         Args:
-          options: The options of the statement that asks for the token.
+          options: The options of the statement that requests the token.
         """
         group = self.database or ""
         if group not in self.progress.last_reads:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/execute_command.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/execute_command.py
@@ -1,4 +1,4 @@
-"""Reads the commands that carry statements."""
+"""Decodes COM_QUERY and COM_STMT_EXECUTE commands."""
 
 import attrs
 from mysql_mimic.types import Capabilities
@@ -19,12 +19,12 @@
 
 @attrs.define
 class Prepared:
-    """A prepared statement of one connection.
+    """Prepared statement of one connection.
 
     Attributes:
       text: The statement's text.
-      types: The types that the driver bound last.
-      long_data: Values sent ahead of the execution, by parameter.
+      types: The parameter types that the driver bound most recently.
+      long_data: Values sent before the execution, by parameter index.
     """
 
     text: PreparedText
@@ -34,12 +34,12 @@
 
 @attrs.frozen
 class StatementCommand:
-    """A statement ready to be run.
+    """Statement decoded from a command.
 
     Attributes:
       sql: The statement.
       attributes: The query attributes.
-      use_cursor: Whether the driver fetches rows in parts.
+      use_cursor: Whether the driver fetches the rows through a cursor.
     """
 
     sql: str
@@ -50,7 +50,7 @@
 def read_query(data: bytes, capabilities: Capabilities) -> StatementCommand:
     """Return the statement in a COM_QUERY.
 
-    Bytes that are no UTF-8 are kept as surrogate escapes.
+    Bytes that are not valid UTF-8 become surrogate escapes.
 
     Args:
       data: The command without its first byte.
@@ -143,7 +143,7 @@
     nulls = reader.take((count + 7) // 8)
     if not reader.number(1):
         if len(bound_types) != count:
-            raise MalformedParameters("no parameter types were bound")
+            raise MalformedParameters("parameter types are not bound")
         return bound_types, nulls
     types = tuple(reader.parameter_type(named) for _ in range(count))
     return types, nulls
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/front_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/front_server.py
@@ -1,4 +1,4 @@
-"""Listens for callers."""
+"""TCP server for caller connections."""
 
 import asyncio
 import contextlib
@@ -25,11 +25,11 @@
 
 
 class FrontServer:
-    """Accepts callers' connections and closes them at boundaries.
+    """Accepts caller connections and drains them on shutdown.
 
     Attributes:
       host: The address to listen on.
-      port: The TCP port; the real one after `start`.
+      port: The TCP port; after `start`, the one actually bound.
       connections: The open connections and their tasks.
     """
 
@@ -58,7 +58,7 @@
         self.draining = False
 
     async def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
             self._make_protocol, self.host, self.port, backlog=LISTEN_BACKLOG
@@ -66,7 +66,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Close every connection at once."""
+        """Close all connections immediately."""
         self._stop_listening()
         tasks = list(self.connections.values())
         for task in tasks:
@@ -74,10 +74,13 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def drain(self, timeout_seconds: float) -> int:
-        """Close connections at statement boundaries; return how many are cut.
+        """Close each connection after its current statement or transaction.
+
+        Returns the number of connections closed at the timeout.
 
         Args:
-          timeout_seconds: The longest that open transactions may go on.
+          timeout_seconds: How long open transactions may continue, in
+            seconds.
         """
         self.draining = True
         self._stop_listening()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/logins.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/logins.py
@@ -1,4 +1,4 @@
-"""Checks the logins of callers."""
+"""Authentication of callers."""
 
 import secrets
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class Logins(IdentityProvider):
-    """The users that may log in, with native password authentication."""
+    """Identity provider of the configured callers (native passwords)."""
 
     def __init__(self, logins: Iterable[CallerLogin]) -> None:
         self.plugin = NativePasswordAuthPlugin()
@@ -24,7 +24,8 @@
             )
             for login in logins
         }
-        # An unknown user fails like a wrong password, so names stay private.
+        # An unknown user fails in the same way as a wrong password, so that user
+        # names cannot be probed.
         self.unknown_user = User(
             name="",
             auth_string=create(secrets.token_hex(UNKNOWN_USER_PASSWORD_BYTES)),
@@ -32,13 +33,13 @@
         )
 
     def get_plugins(self) -> list[NativePasswordAuthPlugin]:
-        """Return the ways to log in."""
+        """Return the supported authentication plugins."""
         return [self.plugin]
 
     async def get_user(self, username: str) -> User:
-        """Return the user of a name.
+        """Return the user with a name.
 
         Args:
-          username: The name that a caller gave.
+          username: The user name that the caller sent.
         """
         return self.users.get(username, self.unknown_user)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/packets.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/packets.py
@@ -1,4 +1,4 @@
-"""MySQL packets of answers, built from the system's own result types."""
+"""Encodes result messages as MySQL response packets."""
 
 import struct
 
@@ -28,7 +28,7 @@
 
 
 def column_packet(column: ColumnInfo) -> bytes:
-    """Return a column definition.
+    """Return a column definition packet.
 
     Args:
       column: The column.
@@ -60,7 +60,7 @@
     """Return an OK packet with counts and info text.
 
     Args:
-      capabilities: What the caller's driver understands.
+      capabilities: The capabilities agreed with the driver.
       status: The connection's status flags.
       result: The answer.
     """
@@ -75,10 +75,10 @@
 
 
 def end_packet(use_ok_packet: bool, status: int, warnings: int) -> bytes:
-    """Return the packet that ends rows.
+    """Return the packet that ends a result set.
 
     Args:
-      use_ok_packet: Whether the driver wants an OK packet in place of EOF.
+      use_ok_packet: Whether the driver expects an OK instead of an EOF packet.
       status: The connection's status flags.
       warnings: The number of warnings.
     """
@@ -88,7 +88,7 @@
 
 
 def error_text(error: ResultError) -> str:
-    """Return the message that a caller sees, which starts with the outcome.
+    """Return the error message for the caller, starting with the outcome.
 
     Args:
       error: The failure.
@@ -102,7 +102,7 @@
 
 
 def error_packet(error: ResultError) -> bytes:
-    """Return an error packet with the standard code and SQLSTATE.
+    """Return an error packet with the MySQL error code and SQLSTATE.
 
     Args:
       error: The failure.
@@ -113,17 +113,17 @@
 
 
 def frame_packet(packet: bytes, sequence: int) -> bytes:
-    """Return a packet with its header.
+    """Return a payload with its packet header prepended.
 
     Args:
-      packet: The payload, shorter than 16 MiB.
-      sequence: The packet's number within the command.
+      packet: The payload, less than 16 MiB.
+      sequence: The packet's sequence number within the command.
     """
     return bytes(uint_4(len(packet) | sequence << 24)) + packet
 
 
 def column_count_packet(count: int) -> bytes:
-    """Return the packet that announces a number of columns.
+    """Return the column count packet of a result set.
 
     Args:
       count: The number of columns.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/parameters.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/parameters.py
@@ -1,4 +1,4 @@
-"""Reads the binary parameters of prepared statements."""
+"""Decodes binary protocol parameters into SQL literals."""
 
 import math
 import re
@@ -44,12 +44,12 @@
 
 @attrs.frozen
 class ParameterType:
-    """The declared type of one parameter.
+    """Declared type of one parameter.
 
     Attributes:
       code: The MySQL type code.
-      unsigned: Whether a whole number is unsigned.
-      name: The name of a query attribute; empty for a placeholder's value.
+      unsigned: Whether an integer is unsigned.
+      name: The name of a query attribute; empty for a placeholder.
     """
 
     code: int
@@ -58,15 +58,15 @@
 
 
 class MalformedParameters(ValueError):
-    """The parameters do not follow the protocol."""
+    """Parameters that violate the MySQL protocol."""
 
 
 class ParameterReader:
-    """Reads values off the front of a packet.
+    """Reads consecutive values from a packet.
 
     Attributes:
       data: The packet.
-      position: The place of the next byte.
+      position: The offset of the next byte.
     """
 
     def __init__(self, data: bytes, position: int = 0) -> None:
@@ -77,28 +77,28 @@
         """Return the next bytes.
 
         Args:
-          count: How many.
+          count: The number of bytes.
 
         Raises:
-          MalformedParameters: There are fewer.
+          MalformedParameters: The packet has fewer bytes left.
         """
         end = self.position + count
         if end > len(self.data):
-            raise MalformedParameters("the packet ends early")
+            raise MalformedParameters("packet is truncated")
         piece = self.data[self.position : end]
         self.position = end
         return piece
 
     def number(self, count: int) -> int:
-        """Return the next little-endian unsigned number.
+        """Return the next little-endian unsigned integer.
 
         Args:
-          count: Its bytes.
+          count: Its size in bytes.
         """
         return int.from_bytes(self.take(count), "little")
 
     def length(self) -> int:
-        """Return the next length-encoded number."""
+        """Return the next length-encoded integer."""
         first = self.number(1)
         extra = _LENGTH_PREFIXES.get(first)
         return first if extra is None else self.number(extra)
@@ -108,10 +108,10 @@
         return self.take(self.length())
 
     def parameter_type(self, named: bool) -> ParameterType:
-        """Return the next declared type.
+        """Return the next parameter type.
 
         Args:
-          named: Whether a name follows each type.
+          named: Whether a parameter name follows the type.
         """
         code = self.number(1)
         flags = self.number(1)
@@ -122,13 +122,15 @@
         try:
             return self.text().decode()
         except UnicodeDecodeError as error:
-            raise MalformedParameters("a name is no UTF-8") from error
+            raise MalformedParameters(
+                "parameter name is not valid UTF-8"
+            ) from error
 
     def literal(self, kind: ParameterType) -> str:
         """Return the next value as an SQL literal.
 
         Args:
-          kind: Its type.
+          kind: The type of the value.
         """
         code = kind.code
         if code in _INTEGERS:
@@ -137,7 +139,7 @@
             size = struct.calcsize(_FLOATS[ColumnType(code)])
             value = struct.unpack(_FLOATS[ColumnType(code)], self.take(size))
             if not math.isfinite(value[0]):
-                raise MalformedParameters("a float is no number")
+                raise MalformedParameters("float value is not finite")
             return repr(value[0])
         if code in _DATES:
             return self._date()
@@ -183,7 +185,7 @@
     """Return bytes as an SQL literal.
 
     Args:
-      value: The bytes; text is in UTF-8.
+      value: The bytes; text is UTF-8.
       code: The MySQL type code.
     """
     if code in _DECIMALS and _NUMBER.fullmatch(value):
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/prepared_text.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/prepared_text.py
@@ -1,4 +1,4 @@
-"""The text of a prepared statement, cut at its placeholders."""
+"""Text of a prepared statement, split at its placeholders."""
 
 import re
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class PreparedText:
-    """A statement's text around its placeholders.
+    """Statement text, split at its placeholders.
 
     Attributes:
       pieces: The text before, between and after the placeholders.
@@ -27,10 +27,10 @@
         return len(self.pieces) - 1
 
     def fill(self, literals: list[str]) -> str:
-        """Return the statement with literals in place of placeholders.
+        """Return the statement with literals substituted for placeholders.
 
         Args:
-          literals: One SQL literal for each placeholder.
+          literals: One SQL literal per placeholder.
         """
         parts = [self.pieces[0]]
         for literal, piece in zip(literals, self.pieces[1:], strict=True):
@@ -40,9 +40,10 @@
 
 
 def split_placeholders(sql: str) -> PreparedText:
-    """Return a statement cut at its placeholders.
+    """Split a statement at its placeholders.
 
-    Question marks in strings, names and comments are none.
+    Question marks in strings, quoted identifiers and comments are not
+    placeholders.
 
     Args:
       sql: The statement.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
@@ -1,4 +1,4 @@
-"""What a caller's session has seen of the database groups."""
+"""Positions that a caller's session has observed."""
 
 import time
 
@@ -24,12 +24,12 @@
 
 @attrs.frozen
 class LastRead:
-    """The newest read of a group.
+    """Most recent read of a database group.
 
     Attributes:
-      server: The server that answered.
-      ended_at: When its answer arrived, on the monotonic clock.
-      term: The term in which it ran.
+      server: The backend server that answered.
+      ended_at: When the answer arrived, in seconds of the monotonic clock.
+      term: The term in which the read ran.
     """
 
     server: str
@@ -43,12 +43,13 @@
 
 @attrs.define(eq=False)
 class SessionProgress:
-    """Keeps a session's reads from going back in time.
+    """Tracks positions so that a session's reads are monotonic.
 
     Attributes:
-      router: Signs tokens and knows the groups' branches.
-      token: The position of each group that the session has seen.
-      last_reads: The newest read of each group whose position is not settled.
+      router: Verifies tokens and provides the groups' branches.
+      token: The newest position that the session has observed, by group.
+      last_reads: The most recent read of each group whose position has not
+        been added to the token.
     """
 
     router: StatementRouter
@@ -56,12 +57,12 @@
     last_reads: dict[str, LastRead] = attrs.Factory(dict)
 
     def forget(self) -> None:
-        """Begin anew, as for a new connection."""
+        """Reset the state to that of a new connection."""
         self.token = SessionToken()
         self.last_reads.clear()
 
     def check_group_limit(self, group: str) -> ResultError | None:
-        """Refuse a group for which the token has no room.
+        """Return an error if the token cannot hold another group.
 
         Args:
           group: The database group.
@@ -71,7 +72,7 @@
         return not_run("bad_option", "the session has too many groups")
 
     def minimum_position(self, group: str, options: Options) -> str:
-        """Return the position that a read has to see, as text, or nothing.
+        """Return the minimum position for a read as text, or an empty string.
 
         Args:
           group: The database group.
@@ -79,14 +80,16 @@
         """
         position = self.token.position(group)
         if position is None:
-            # A stated but empty token still asks for replicas.
+            # An explicit empty token still selects replicas for the read.
             return "0:0" if options.session else ""
         if not options.session and options.max_age_ms is None:
             return ""
         return str(position)
 
     def merge(self, group: str, options: Options) -> ResultError | None:
-        """Take over the token that a statement states, or refuse it.
+        """Merge the session token of a statement into the session.
+
+        Returns an error if the token is invalid or has no room.
 
         Args:
           group: The database group.
@@ -108,7 +111,7 @@
         return None
 
     def record(self, group: str, result: StatementResult) -> None:
-        """Record what a statement's result has shown to the session.
+        """Update the observed positions from a statement's result.
 
         Args:
           group: The database group.
@@ -124,10 +127,10 @@
             self.last_reads[group] = LastRead(result.server, now, result.term)
 
     def advance(self, group: str, position: Position) -> None:
-        """Hold the session to a position from now on.
+        """Require later reads to include a position.
 
-        A position of a term that the configuration does not know here yet is
-        taken as the first of its term.
+        If this proxy's configuration does not contain the position's term yet,
+        the position counts as the first of that term.
 
         Args:
           group: The database group.
@@ -142,10 +145,11 @@
         self.token = self.token.advanced(group, position, branch)
 
     def _record_lost_write(self, group: str, result: ResultError) -> None:
-        """Begin anew with what the caller was told is lost.
+        """Drop the observed position that the caller was informed is lost.
 
-        The loss of a read may come first; a lost write of the session is
-        then told of by the refusal of the next read.
+        If the group has a pending last read, only that read is dropped. A
+        lost write of the session is then reported when the next read is
+        refused.
         """
         if result.reason != NotRunReason.WRITE_LOST.value:
             return
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_variables.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_variables.py
@@ -1,4 +1,4 @@
-"""What SET statements have changed on a caller's connection."""
+"""Session variables that SET statements change."""
 
 import re
 
@@ -9,14 +9,15 @@
 from jackdawcrank.statements.options import NO_OPTIONS, READERS, read_options
 from jackdawcrank_wire.messages import ResultError
 
-# Variables whose change is carried to the backend connection.
+# Variables that are also set on the backend connection.
 BACKEND_VARIABLES = frozenset(
     {"time_zone", "sql_mode", "group_concat_max_len", "lc_time_names"}
     | {"div_precision_increment", "max_execution_time", "sql_select_limit"}
     | {"foreign_key_checks", "unique_checks", "sql_safe_updates"}
     | {"collation_connection", "innodb_lock_wait_timeout"}
 )
-# Variables that concern the caller's own connection only.
+# Variables that only affect the caller's connection; SET accepts and ignores
+# them.
 IGNORED_VARIABLES = frozenset(
     {"character_set_results", "character_set_client", "wait_timeout"}
     | {"character_set_connection", "net_write_timeout", "net_read_timeout"}
@@ -24,7 +25,7 @@
     | {"sql_notes", "sql_warnings"}
 )
 SUPPORTED_CHARSETS = ("utf8mb4", "utf8", "utf8mb3", "null", "default")
-# Modes under which strings or names are written in another way.
+# SQL modes that change how strings or identifiers are quoted.
 QUOTING_MODES = frozenset(
     {"ANSI", "ANSI_QUOTES", "NO_BACKSLASH_ESCAPES"}
     | {"DB2", "MAXDB", "MSSQL", "ORACLE", "POSTGRESQL"}
@@ -36,12 +37,13 @@
 
 @attrs.define
 class SessionVariables:
-    """A connection's variables.
+    """Session variables of one caller connection.
 
     Attributes:
-      autocommit: Whether each statement commits by itself.
-      defaults: Options for statements that state none of their own.
-      backend_settings: The items to set on a backend connection, by name.
+      autocommit: Whether autocommit is enabled.
+      defaults: Options for statements that do not set their own.
+      backend_settings: The assignments for the backend connection, by
+        variable name.
     """
 
     autocommit: bool = True
@@ -50,16 +52,16 @@
 
     @property
     def setup(self) -> tuple[str, ...]:
-        """Return the statements that prepare a backend connection."""
+        """Return the SET statements for a backend connection."""
         return tuple(
             f"SET SESSION {item}" for item in self.backend_settings.values()
         )
 
     def assign(self, item: Assignment) -> ResultError | None:
-        """Take over one item of a SET statement, or refuse it.
+        """Apply one assignment of a SET statement, or return an error.
 
         Args:
-          item: The item.
+          item: The assignment.
         """
         if item.is_global:
             return not_supported("SET GLOBAL")
@@ -122,7 +124,7 @@
 
 
 def _preserves_quoting(mode: str) -> bool:
-    """Return whether a value of sql_mode surely leaves quoting as it is."""
+    """Return whether an sql_mode value is known to keep quoting rules."""
     if mode.lower() == "default":
         return True
     match = _SQL_MODE_LITERAL.fullmatch(mode)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_handlers.py
@@ -1,4 +1,4 @@
-"""Serves each kind of statement that a caller may send."""
+"""Handlers for the kinds of statements that callers send."""
 
 from collections.abc import Awaitable, Callable, Mapping
 
@@ -32,7 +32,7 @@
 async def handle_statement(
     session: CallerSession, sql: str, attributes: Mapping[str, str]
 ) -> StatementResult:
-    """Run a statement of a caller.
+    """Run a caller's statement.
 
     Args:
       session: The caller's session.
@@ -145,7 +145,7 @@
 async def _show_warnings(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
-    # Warnings stay with the pooled backend connection.
+    # Warnings remain on the pooled backend connection and are not available.
     return make_text_rows(("Level", "Code", "Message"), ())
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_router.py
@@ -1,4 +1,4 @@
-"""What a caller's session needs of the rest of the process."""
+"""Interface between caller sessions and statement routing."""
 
 from typing import Protocol
 
@@ -8,31 +8,31 @@
 
 
 class StatementRouter(Protocol):
-    """Runs statements wherever they belong and knows the groups."""
+    """Routes statements to home proxies and provides group settings."""
 
     async def execute(self, request: StatementRequest) -> StatementResult:
-        """Run a statement on one of its group's home proxies."""
+        """Run a statement on a home proxy of its database group."""
 
     def is_configured(self) -> bool:
-        """Return whether any configuration has been read yet."""
+        """Return whether this proxy has read a configuration."""
 
     def knows_group(self, group: str) -> bool:
         """Return whether a group is declared."""
 
     def statement_timeout_ms(self, group: str) -> int:
-        """Return the longest that a statement on a group may run."""
+        """Return the statement timeout of a group, in milliseconds."""
 
     def branch(self, group: str) -> Branch:
-        """Return the branch of a group's log."""
+        """Return the current branch of a group's log."""
 
     def caller_class(self, user: str) -> str:
-        """Return the name of a caller's class."""
+        """Return the name of the caller's class."""
 
     def admit(self, user: str) -> NotRun | None:
-        """Count a statement against a caller's limits, or refuse it."""
+        """Count a statement against the caller's limits, or refuse it."""
 
     def finish(self, user: str) -> None:
-        """Count the end of a statement that was admitted."""
+        """Release the admission of a finished statement."""
 
     def sign(self, token: SessionToken) -> str:
         """Return a session token as signed text."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/transaction.py
@@ -1,17 +1,18 @@
-"""The transaction that a caller's session has open."""
+"""Open transaction of a caller's session."""
 
 import attrs
 
 
 @attrs.define
 class Transaction:
-    """A session's open transaction.
+    """Open transaction of a session.
 
     Attributes:
-      transaction_id: Its id on the home proxy that holds its connection.
+      transaction_id: The id on the home proxy that holds the backend
+        connection.
       begun: Whether the home proxy has opened it on a backend server.
-      read_only: Whether the caller declared that it only reads.
-      loss_reason: Why it was lost before its end; empty while it goes on.
+      read_only: Whether the caller declared it READ ONLY.
+      loss_reason: Why the transaction was lost; empty while it is usable.
     """
 
     transaction_id: str
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/values.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/values.py
@@ -1,4 +1,4 @@
-"""Small results that the front makes itself."""
+"""Result sets that the proxy generates itself."""
 
 from collections.abc import Sequence
 
@@ -15,7 +15,7 @@
 def make_text_rows(
     names: Sequence[str], rows: Sequence[Sequence[str]]
 ) -> ResultRows:
-    """Return rows of text.
+    """Return a result set of text columns.
 
     Args:
       names: The columns' names.
@@ -32,7 +32,7 @@
 
 
 def make_number_row(name: str, number: int) -> ResultRows:
-    """Return one row with one whole number.
+    """Return a result set of one row with one integer.
 
     Args:
       name: The column's name.
--- a/packages/jackdawcrank-proxy/tests/front/test_fuzz_commands.py
+++ b/packages/jackdawcrank-proxy/tests/front/test_fuzz_commands.py
@@ -1,4 +1,4 @@
-"""Fuzz of what drivers send: commands, parameters and prepared texts."""
+"""Fuzz tests of commands, parameters and prepared statement texts."""
 
 import math
 import re
@@ -84,7 +84,7 @@
 
 
 def parse_literal(text: str, start: int = 0) -> tuple[bytes, int]:
-    """Return the value and the end of a string literal, as MySQL reads it."""
+    """Parse a literal as MySQL does; return its value and end offset."""
     if text.startswith("x'", start):
         end = text.index("'", start + 2)
         return bytes.fromhex(text[start + 2 : end]), end + 1
--- a/packages/jackdawcrank-proxy/tests/front/test_session_progress.py
+++ b/packages/jackdawcrank-proxy/tests/front/test_session_progress.py
@@ -1,4 +1,4 @@
-"""Tests of what a session is held to."""
+"""Tests of the positions that a session's reads must include."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 
 
 class FakeRouter:
-    """Knows one branch."""
+    """Router whose groups all have the same branch."""
 
     def branch(self, group: str) -> Branch:
         return Branch((TermStart(1, 0),))
--- a/packages/jackdawcrank-proxy/tests/front/test_session_variables.py
+++ b/packages/jackdawcrank-proxy/tests/front/test_session_variables.py
@@ -1,4 +1,4 @@
-"""Tests of SET statements that would change how strings are quoted."""
+"""Tests that SET rejects SQL modes that change string quoting."""
 
 import pytest
 
