--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/binary_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/binary_rows.py
@@ -83,10 +83,10 @@
 
 
 def _integer_encoder(column: ColumnInfo) -> Encoder:
-    letter = _INTEGER_FORMATS[ColumnType(column.type_code)]
+    format_char = _INTEGER_FORMATS[ColumnType(column.type_code)]
     if column.flags & UNSIGNED_FLAG:
-        letter = letter.upper()
-    packer = struct.Struct("<" + letter)
+        format_char = format_char.upper()
+    packer = struct.Struct("<" + format_char)
     return lambda value: packer.pack(int(value))
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_connection.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_connection.py
@@ -175,10 +175,10 @@
             await self.stream.write(error_packet(error))
             return
         text = split_placeholders(decode_sql(data))
-        number = next(self.prepared_stmt_seq)
-        statement = PreparedStatement(number, "", text.parameter_count)
-        self.prepared_stmts[number] = statement
-        self.prepared[number] = Prepared(text)
+        statement_id = next(self.prepared_stmt_seq)
+        statement = PreparedStatement(statement_id, "", text.parameter_count)
+        self.prepared_stmts[statement_id] = statement
+        self.prepared[statement_id] = Prepared(text)
         for packet in self.com_stmt_prepare_response(statement):
             await self.stream.write(packet, drain=False)
         await self.stream.drain()
@@ -190,8 +190,8 @@
           data: The command without its first byte.
         """
         await super().handle_stmt_close(data)
-        number = packets.parse_com_stmt_close(data).stmt_id
-        self.prepared.pop(number, None)
+        statement_id = packets.parse_com_stmt_close(data).stmt_id
+        self.prepared.pop(statement_id, None)
 
     async def handle_stmt_send_long_data(self, data: bytes) -> None:
         """Store a chunk of a parameter value sent before the execution.
@@ -309,13 +309,13 @@
             await self.stream.write(self.error(msg=error.msg, code=error.code))
         return True
 
-    async def _dispatch(self, command: int, rest: bytes) -> None:
+    async def _dispatch(self, command: int, payload: bytes) -> None:
         handler = _HANDLERS.get(command)
         if handler is None:
             error = not_supported(f"command {command:#04x}")
             await self.stream.write(error_packet(error))
             return
-        await handler(self, rest)
+        await handler(self, payload)
 
     async def _write_result(self, result: StatementResult) -> None:
         match result:
@@ -396,7 +396,7 @@
 
 async def _binary_packets(result: ResultRows) -> AsyncIterator[bytes]:
     encoders = [encoder_for(column) for column in result.columns]
-    for number, row in enumerate(result.rows):
-        if number % ROWS_PER_WRITE == 0:
+    for row_index, row in enumerate(result.rows):
+        if row_index % ROWS_PER_WRITE == 0:
             await asyncio.sleep(0)
         yield binary_row(row, encoders)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_session.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/caller_session.py
@@ -90,7 +90,7 @@
         await self.end_transaction(StatementKind.ROLLBACK)
         self.session_variables = SessionVariables()
         self.last_insert_id = 0
-        self.progress.forget()
+        self.progress.reset()
 
     async def close(self) -> None:
         """Roll back the open transaction, if there is one."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/parameters.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/parameters.py
@@ -150,8 +150,8 @@
         return quote(self.text(), code)
 
     def _integer(self, kind: ParameterType) -> str:
-        letter = _INTEGERS[ColumnType(kind.code)]
-        form = "<" + (letter.upper() if kind.unsigned else letter)
+        format_char = _INTEGERS[ColumnType(kind.code)]
+        form = "<" + (format_char.upper() if kind.unsigned else format_char)
         return str(struct.unpack(form, self.take(struct.calcsize(form)))[0])
 
     def _date(self) -> str:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
@@ -56,7 +56,7 @@
     token: SessionToken = attrs.Factory(SessionToken)
     last_reads: dict[str, LastRead] = attrs.Factory(dict)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Reset the state to that of a new connection."""
         self.token = SessionToken()
         self.last_reads.clear()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_handlers.py
@@ -56,7 +56,7 @@
         session.on_statement_end()
 
 
-async def _run_data(
+async def _run_read_or_write(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
     lost = session.discard_lost_transaction()
@@ -77,7 +77,7 @@
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
     if statement.stateful:
-        return await _run_data(session, statement, sql, options)
+        return await _run_read_or_write(session, statement, sql, options)
     ended = await session.end_transaction(StatementKind.COMMIT)
     if isinstance(ended, ResultError):
         return ended
@@ -198,8 +198,8 @@
 
 
 _HANDLERS: dict[FrontKind, Handler] = {
-    FrontKind.READ: _run_data,
-    FrontKind.WRITE: _run_data,
+    FrontKind.READ: _run_read_or_write,
+    FrontKind.WRITE: _run_read_or_write,
     FrontKind.IMPLICIT_COMMIT: _run_schema_change,
     FrontKind.BEGIN: _begin,
     FrontKind.COMMIT: _commit,
