--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/logins.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/logins.py
@@ -24,8 +24,8 @@
             )
             for login in logins
         }
-        # An unknown user fails in the same way as a wrong password, so that user
-        # names cannot be probed.
+        # An unknown user fails in the same way as a wrong password, so that
+        # user names cannot be probed.
         self.unknown_user = User(
             name="",
             auth_string=create(secrets.token_hex(UNKNOWN_USER_PASSWORD_BYTES)),
