--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
@@ -145,9 +145,9 @@
         self.token = self.token.advanced(group, position, branch)
 
     def _record_lost_write(self, group: str, result: ResultError) -> None:
-        """Drop the observed position that the caller was informed is lost.
+        """Discard the observed position that the error reports as lost.
 
-        If the group has a pending last read, only that read is dropped. A
+        If the group has a pending last read, only that read is discarded. A
         lost write of the session is then reported when the next read is
         refused.
         """
