--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/binary_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/binary_rows.py
@@ -1,4 +1,4 @@
-"""Turns text protocol values into the binary protocol's form."""
+"""Converts result values from the text to the binary protocol."""
 
 import re
 import struct
@@ -37,8 +37,8 @@
     """Return one row packet of the binary protocol.
 
     Args:
-      row: The values in text form; None is NULL.
-      encoders: One encoder for each column.
+      row: The values in text protocol form; None is NULL.
+      encoders: One encoder per column.
 
     Raises:
       MalformedParameters: A value does not fit its column's type.
@@ -47,8 +47,8 @@
     parts = []
     for index, value in enumerate(row):
         if value is None:
-            place = index + NULL_BITMAP_OFFSET
-            bitmap[place // 8] |= 1 << place % 8
+            bit_index = index + NULL_BITMAP_OFFSET
+            bitmap[bit_index // 8] |= 1 << bit_index % 8
         else:
             parts.append(_encode(encoders[index], value))
     return b"\x00" + bytes(bitmap) + b"".join(parts)
@@ -58,7 +58,9 @@
     try:
         return encoder(value)
     except (ValueError, OverflowError, struct.error) as error:
-        raise MalformedParameters(f"not of its type: {value[:20]!r}") from error
+        raise MalformedParameters(
+            f"invalid column value: {value[:20]!r}"
+        ) from error
 
 
 def encoder_for(column: ColumnInfo) -> Encoder:
@@ -81,10 +83,10 @@
 
 
 def _integer_encoder(column: ColumnInfo) -> Encoder:
-    letter = _INTEGER_FORMATS[ColumnType(column.type_code)]
+    format_char = _INTEGER_FORMATS[ColumnType(column.type_code)]
     if column.flags & UNSIGNED_FLAG:
-        letter = letter.upper()
-    packer = struct.Struct("<" + letter)
+        format_char = format_char.upper()
+    packer = struct.Struct("<" + format_char)
     return lambda value: packer.pack(int(value))
 
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/front_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/front_server.py
@@ -1,4 +1,4 @@
-"""Listens for callers."""
+"""TCP server for caller connections."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 from jackdawcrank.front.caller_connection import CallerConnection
 from jackdawcrank.front.caller_session import CallerSession
 from jackdawcrank.front.logins import Logins
-from jackdawcrank.front.packets import error_packet, framed
+from jackdawcrank.front.packets import error_packet, frame_packet
 from jackdawcrank.front.statement_router import StatementRouter
 from jackdawcrank.results.errors import not_run
 from jackdawcrank_wire.settings import CallerLogin
@@ -25,11 +25,11 @@
 
 
 class FrontServer:
-    """Accepts callers' connections and closes them at boundaries.
+    """Accepts caller connections and drains them on shutdown.
 
     Attributes:
       host: The address to listen on.
-      port: The TCP port; the real one after `start`.
+      port: The TCP port; after `start`, the one actually bound.
       connections: The open connections and their tasks.
     """
 
@@ -52,13 +52,13 @@
         self.max_statement_bytes = max_statement_bytes
         self.max_connections = max_connections
         self.login_timeout_seconds = login_timeout_seconds
-        self.numbers = itertools.count(1)
+        self.connection_ids = itertools.count(1)
         self.connections: dict[CallerConnection, asyncio.Task[None]] = {}
         self.server: asyncio.Server | None = None
         self.draining = False
 
     async def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
             self._make_protocol, self.host, self.port, backlog=LISTEN_BACKLOG
@@ -66,7 +66,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Close every connection at once."""
+        """Close all connections immediately."""
         self._stop_listening()
         tasks = list(self.connections.values())
         for task in tasks:
@@ -74,15 +74,18 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def drain(self, timeout_seconds: float) -> int:
-        """Close connections at statement boundaries; return how many are cut.
+        """Close each connection after its current statement or transaction.
+
+        Returns the number of connections closed at the timeout.
 
         Args:
-          timeout_seconds: The longest that open transactions may go on.
+          timeout_seconds: How long open transactions may continue, in
+            seconds.
         """
         self.draining = True
         self._stop_listening()
         for connection, task in list(self.connections.items()):
-            if await self._drain_one(connection):
+            if await self._drain_connection(connection):
                 asyncio.get_running_loop().call_later(
                     LINGER_SECONDS, task.cancel
                 )
@@ -94,7 +97,7 @@
             task.cancel()
         return len(pending)
 
-    async def _drain_one(self, connection: CallerConnection) -> bool:
+    async def _drain_connection(self, connection: CallerConnection) -> bool:
         try:
             return await connection.drain()
         except OSError:
@@ -107,9 +110,9 @@
 
     def _make_protocol(self) -> asyncio.StreamReaderProtocol:
         reader = BoundedReader(self.max_statement_bytes, PACKET_TIMEOUT_SECONDS)
-        return asyncio.StreamReaderProtocol(reader, self._connected)
+        return asyncio.StreamReaderProtocol(reader, self._handle_connection)
 
-    async def _connected(
+    async def _handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         assert isinstance(reader, BoundedReader)
@@ -131,8 +134,10 @@
     def _make_connection(
         self, reader: BoundedReader, writer: asyncio.StreamWriter
     ) -> CallerConnection:
-        number = next(self.numbers) % MAX_CONNECTION_ID
-        session = CallerSession(f"{self.session_prefix}-{number}", self.router)
+        connection_id = next(self.connection_ids) % MAX_CONNECTION_ID
+        session = CallerSession(
+            f"{self.session_prefix}-{connection_id}", self.router
+        )
         connection = CallerConnection(
             reader,
             self.login_timeout_seconds,
@@ -141,12 +146,12 @@
             control=Control(),
             identity_provider=self.logins,
         )
-        connection.connection_id = number
+        connection.connection_id = connection_id
         return connection
 
     async def _refuse(self, writer: asyncio.StreamWriter) -> None:
         error = not_run("overloaded", "Too many connections", 1040, "08004")
         with contextlib.suppress(OSError):
-            writer.write(framed(error_packet(error), 0))
+            writer.write(frame_packet(error_packet(error), 0))
             await writer.drain()
         writer.close()
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/logins.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/logins.py
@@ -1,4 +1,4 @@
-"""Checks the logins of callers."""
+"""Authentication of callers."""
 
 import secrets
 from collections.abc import Iterable
@@ -7,11 +7,11 @@
 
 from jackdawcrank_wire.settings import CallerLogin
 
-NOBODY_PASSWORD_BYTES = 16
+UNKNOWN_USER_PASSWORD_BYTES = 16
 
 
 class Logins(IdentityProvider):
-    """The users that may log in, with native password authentication."""
+    """Identity provider of the configured callers (native passwords)."""
 
     def __init__(self, logins: Iterable[CallerLogin]) -> None:
         self.plugin = NativePasswordAuthPlugin()
@@ -24,21 +24,22 @@
             )
             for login in logins
         }
-        # An unknown user fails like a wrong password, so names stay private.
-        self.nobody = User(
+        # An unknown user fails in the same way as a wrong password, so that
+        # user names cannot be probed.
+        self.unknown_user = User(
             name="",
-            auth_string=create(secrets.token_hex(NOBODY_PASSWORD_BYTES)),
+            auth_string=create(secrets.token_hex(UNKNOWN_USER_PASSWORD_BYTES)),
             auth_plugin=self.plugin.name,
         )
 
     def get_plugins(self) -> list[NativePasswordAuthPlugin]:
-        """Return the ways to log in."""
+        """Return the supported authentication plugins."""
         return [self.plugin]
 
     async def get_user(self, username: str) -> User:
-        """Return the user of a name.
+        """Return the user with a name.
 
         Args:
-          username: The name that a caller gave.
+          username: The user name that the caller sent.
         """
-        return self.users.get(username, self.nobody)
+        return self.users.get(username, self.unknown_user)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/session_progress.py
@@ -1,4 +1,4 @@
-"""What a caller's session has seen of the database groups."""
+"""Positions that a caller's session has observed."""
 
 import time
 
@@ -24,12 +24,12 @@
 
 @attrs.frozen
 class LastRead:
-    """The newest read of a group.
+    """Most recent read of a database group.
 
     Attributes:
-      server: The server that answered.
-      ended_at: When its answer arrived, on the monotonic clock.
-      term: The term in which it ran.
+      server: The backend server that answered.
+      ended_at: When the answer arrived, in seconds of the monotonic clock.
+      term: The term in which the read ran.
     """
 
     server: str
@@ -43,25 +43,26 @@
 
 @attrs.define(eq=False)
 class SessionProgress:
-    """Keeps a session's reads from going back in time.
+    """Tracks positions so that a session's reads are monotonic.
 
     Attributes:
-      router: Signs tokens and knows the groups' branches.
-      token: The position of each group that the session has seen.
-      last_reads: The newest read of each group whose position is not settled.
+      router: Verifies tokens and provides the groups' branches.
+      token: The newest position that the session has observed, by group.
+      last_reads: The most recent read of each group whose position has not
+        been added to the token.
     """
 
     router: StatementRouter
     token: SessionToken = attrs.Factory(SessionToken)
     last_reads: dict[str, LastRead] = attrs.Factory(dict)
 
-    def forget(self) -> None:
-        """Begin anew, as for a new connection."""
+    def reset(self) -> None:
+        """Reset the state to that of a new connection."""
         self.token = SessionToken()
         self.last_reads.clear()
 
-    def check_room(self, group: str) -> ResultError | None:
-        """Refuse a group for which the token has no room.
+    def check_group_limit(self, group: str) -> ResultError | None:
+        """Return an error if the token cannot hold another group.
 
         Args:
           group: The database group.
@@ -70,8 +71,8 @@
             return None
         return not_run("bad_option", "the session has too many groups")
 
-    def bound(self, group: str, options: Options) -> str:
-        """Return the position that a read has to see, as text, or nothing.
+    def minimum_position(self, group: str, options: Options) -> str:
+        """Return the minimum position for a read as text, or an empty string.
 
         Args:
           group: The database group.
@@ -79,14 +80,16 @@
         """
         position = self.token.position(group)
         if position is None:
-            # A stated but empty token still asks for replicas.
+            # An explicit empty token still selects replicas for the read.
             return "0:0" if options.session else ""
         if not options.session and options.max_age_ms is None:
             return ""
         return str(position)
 
     def merge(self, group: str, options: Options) -> ResultError | None:
-        """Take over the token that a statement states, or refuse it.
+        """Merge the session token of a statement into the session.
+
+        Returns an error if the token is invalid or has no room.
 
         Args:
           group: The database group.
@@ -94,26 +97,28 @@
         """
         if not options.session:
             return None
-        given = self.router.verify(options.session)
-        if isinstance(given, InvalidToken):
-            return not_run("bad_option", f"session: {given.detail}", 1210)
-        refusal = self.check_room(group)
+        stated_token = self.router.verify(options.session)
+        if isinstance(stated_token, InvalidToken):
+            return not_run(
+                "bad_option", f"session: {stated_token.detail}", 1210
+            )
+        refusal = self.check_group_limit(group)
         if refusal is not None:
             return refusal
-        position = given.position(group)
+        position = stated_token.position(group)
         if position is not None:
             self.advance(group, position)
         return None
 
     def record(self, group: str, result: StatementResult) -> None:
-        """Record what a statement's result has shown to the session.
+        """Update the observed positions from a statement's result.
 
         Args:
           group: The database group.
           result: The statement's result.
         """
         if isinstance(result, ResultError):
-            self._record_loss(group, result)
+            self._record_lost_write(group, result)
         elif isinstance(result, ResultOk):
             if result.position is not None:
                 self.advance(group, result.position)
@@ -122,10 +127,10 @@
             self.last_reads[group] = LastRead(result.server, now, result.term)
 
     def advance(self, group: str, position: Position) -> None:
-        """Hold the session to a position from now on.
+        """Require later reads to include a position.
 
-        A position of a term that the configuration does not know here yet is
-        taken as the first of its term.
+        If this proxy's configuration does not contain the position's term yet,
+        the position counts as the first of that term.
 
         Args:
           group: The database group.
@@ -139,11 +144,12 @@
                 branch = Branch((*branch.starts, start))
         self.token = self.token.advanced(group, position, branch)
 
-    def _record_loss(self, group: str, result: ResultError) -> None:
-        """Begin anew with what the caller was told is lost.
+    def _record_lost_write(self, group: str, result: ResultError) -> None:
+        """Discard the observed position that the error reports as lost.
 
-        The loss of a read may come first; a lost write of the session is
-        then told of by the refusal of the next read.
+        If the group has a pending last read, only that read is discarded. A
+        lost write of the session is then reported when the next read is
+        refused.
         """
         if result.reason != NotRunReason.WRITE_LOST.value:
             return
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_handlers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/statement_handlers.py
@@ -1,9 +1,9 @@
-"""Serves each kind of statement that a caller may send."""
+"""Handlers for the kinds of statements that callers send."""
 
 from collections.abc import Awaitable, Callable, Mapping
 
 from jackdawcrank.front.caller_session import CallerSession
-from jackdawcrank.front.values import single_number, single_text
+from jackdawcrank.front.values import make_number_row, make_text_rows
 from jackdawcrank.results.errors import not_run, not_supported, result_error
 from jackdawcrank.statements import (
     FrontKind,
@@ -32,7 +32,7 @@
 async def handle_statement(
     session: CallerSession, sql: str, attributes: Mapping[str, str]
 ) -> StatementResult:
-    """Run a statement of a caller.
+    """Run a caller's statement.
 
     Args:
       session: The caller's session.
@@ -42,26 +42,26 @@
     split = split_options(sql)
     if isinstance(split, MalformedOption):
         return _bad_option(split)
-    given = options_from_attributes(attributes)
-    if isinstance(given, MalformedOption):
-        return _bad_option(given)
-    options = given.with_defaults(split.options).with_defaults(
-        session.own.defaults
+    attribute_options = options_from_attributes(attributes)
+    if isinstance(attribute_options, MalformedOption):
+        return _bad_option(attribute_options)
+    options = attribute_options.with_defaults(split.options).with_defaults(
+        session.session_variables.defaults
     )
     statement = classify(split.sql)
     try:
         handler = _HANDLERS[statement.kind]
         return await handler(session, statement, split.sql, options)
     finally:
-        session.on_boundary()
+        session.on_statement_end()
 
 
-async def _run_data(
+async def _run_read_or_write(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
-    broken = session.drop_broken_transaction()
-    if broken is not None:
-        return broken
+    lost = session.discard_lost_transaction()
+    if lost is not None:
+        return lost
     if session.transaction is None and not session.autocommit:
         session.begin_transaction()
     if statement.stateful and session.transaction is None:
@@ -77,7 +77,7 @@
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
     if statement.stateful:
-        return await _run_data(session, statement, sql, options)
+        return await _run_read_or_write(session, statement, sql, options)
     ended = await session.end_transaction(StatementKind.COMMIT)
     if isinstance(ended, ResultError):
         return ended
@@ -97,9 +97,9 @@
 async def _commit(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
-    broken = session.drop_broken_transaction()
-    if broken is not None:
-        return broken
+    lost = session.discard_lost_transaction()
+    if lost is not None:
+        return lost
     return await session.end_transaction(StatementKind.COMMIT, options)
 
 
@@ -117,7 +117,7 @@
         return not_supported("this form of SET")
     was_autocommit = session.autocommit
     for item in items:
-        refusal = session.own.assign(item)
+        refusal = session.session_variables.assign(item)
         if refusal is not None:
             return refusal
     if session.autocommit and not was_autocommit:
@@ -136,17 +136,17 @@
 ) -> StatementResult:
     if not is_request_id(statement.argument):
         return not_run("bad_option", "malformed request id", 1210)
-    asked = Options(
+    request_options = Options(
         request_id=statement.argument, deadline_ms=options.deadline_ms
     )
-    return await session.send(StatementKind.SHOW_REQUEST, sql, asked)
+    return await session.send(StatementKind.SHOW_REQUEST, sql, request_options)
 
 
 async def _show_warnings(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
-    # Warnings stay with the pooled backend connection.
-    return single_text(("Level", "Code", "Message"), ())
+    # Warnings remain on the pooled backend connection and are not available.
+    return make_text_rows(("Level", "Code", "Message"), ())
 
 
 async def _session_token(
@@ -155,24 +155,24 @@
     refusal = session.progress.merge(session.database or "", options)
     if refusal is not None:
         return refusal
-    unsettled = await session.settle_last_read(options)
-    if unsettled is not None:
-        return unsettled
+    error = await session.fetch_last_read_position(options)
+    if error is not None:
+        return error
     text = session.router.sign(session.progress.token)
-    return single_text(("@@session_token",), ((text,),))
+    return make_text_rows(("@@session_token",), ((text,),))
 
 
 async def _last_insert_id(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
-    return single_number("last_insert_id()", session.last_insert_id)
+    return make_number_row("last_insert_id()", session.last_insert_id)
 
 
 async def _connection_id(
     session: CallerSession, statement: Statement, sql: str, options: Options
 ) -> StatementResult:
     number = int(session.session_id.rpartition("-")[2])
-    return single_number("connection_id()", number)
+    return make_number_row("connection_id()", number)
 
 
 async def _empty(
@@ -198,8 +198,8 @@
 
 
 _HANDLERS: dict[FrontKind, Handler] = {
-    FrontKind.READ: _run_data,
-    FrontKind.WRITE: _run_data,
+    FrontKind.READ: _run_read_or_write,
+    FrontKind.WRITE: _run_read_or_write,
     FrontKind.IMPLICIT_COMMIT: _run_schema_change,
     FrontKind.BEGIN: _begin,
     FrontKind.COMMIT: _commit,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/front/values.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/front/values.py
@@ -1,4 +1,4 @@
-"""Small results that the front makes itself."""
+"""Result sets that the proxy generates itself."""
 
 from collections.abc import Sequence
 
@@ -12,10 +12,10 @@
 NUMBER_LENGTH = 20
 
 
-def single_text(
+def make_text_rows(
     names: Sequence[str], rows: Sequence[Sequence[str]]
 ) -> ResultRows:
-    """Return rows of text.
+    """Return a result set of text columns.
 
     Args:
       names: The columns' names.
@@ -31,8 +31,8 @@
     return ResultRows(columns, encoded)
 
 
-def single_number(name: str, number: int) -> ResultRows:
-    """Return one row with one whole number.
+def make_number_row(name: str, number: int) -> ResultRows:
+    """Return a result set of one row with one integer.
 
     Args:
       name: The column's name.
--- a/packages/jackdawcrank-proxy/tests/front/test_session_progress.py
+++ b/packages/jackdawcrank-proxy/tests/front/test_session_progress.py
@@ -1,4 +1,4 @@
-"""Tests of what a session is held to."""
+"""Tests of the positions that a session's reads must include."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 
 
 class FakeRouter:
-    """Knows one branch."""
+    """Router whose groups all have the same branch."""
 
     def branch(self, group: str) -> Branch:
         return Branch((TermStart(1, 0),))
@@ -30,7 +30,7 @@
     return SessionProgress(router)
 
 
-def test_lost_write_is_still_told_after_a_lost_read(
+def test_lost_write_is_still_reported_after_a_lost_read(
     progress: SessionProgress,
 ) -> None:
     progress.record(GROUP, ResultOk(position=Position(1, 7)))
--- a/packages/jackdawcrank-proxy/tests/front/test_session_variables.py
+++ b/packages/jackdawcrank-proxy/tests/front/test_session_variables.py
@@ -1,4 +1,4 @@
-"""Tests of SET statements that would change how strings are quoted."""
+"""Tests that SET rejects SQL modes that change string quoting."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("value", ["''", "'STRICT_ALL_TABLES'", "DEFAULT"])
-def test_other_modes_are_carried(value: str) -> None:
+def test_other_modes_are_set_on_the_backend(value: str) -> None:
     (item,) = parse_set(f"SET sql_mode = {value}") or ()
     variables = SessionVariables()
     assert variables.assign(item) is None
