--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -41,14 +41,14 @@
         self,
         declaration_format: DeclarationDecoder,
         opener: ConnectionOpener,
-        whereabouts: ProxyLocation,
+        proxy_location: ProxyLocation,
         store_health: StoreHealth,
         homes: Homes,
         log: DecisionLog,
     ) -> None:
         self.declaration_format = declaration_format
         self.opener = opener
-        self.whereabouts = whereabouts
+        self.proxy_location = proxy_location
         self.store_health = store_health
         self.homes = homes
         self.log = log
@@ -186,7 +186,7 @@
                 self.groups[name] = GroupRelay(
                     group,
                     self.opener,
-                    self.whereabouts,
+                    self.proxy_location,
                     self.store_health,
                     self.homes,
                     self.log,
@@ -214,7 +214,7 @@
         )
 
     async def close(self) -> None:
-        """Cancel pending removals and retire the lanes of all servers."""
+        """Cancel pending removals and retire all connection pools."""
         for handle in self.removal_timers.values():
             handle.cancel()
         for group in self.groups.values():
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -98,7 +98,7 @@
         that it is not the primary, by server id. Its report counts again from
         the next revision.
       homes: Divides the servers' connections among the homes.
-      contact: Whether the store can be reached.
+      store_health: Whether the store can be reached.
       missing_servers: When each server disappeared from the store without
         draining, in seconds on the loop's clock.
       last_primary_id: The most recent primary, even if it is gone.
@@ -110,12 +110,12 @@
         group: ServedGroup,
         opener: ConnectionOpener,
         proxy_location: ProxyLocation,
-        contact: StoreHealth,
+        store_health: StoreHealth,
         homes: Homes,
         log: DecisionLog,
     ) -> None:
         self.homes = homes
-        self.contact = contact
+        self.store_health = store_health
         self.group = group
         self.name = group.name
         self.opener = opener
@@ -306,7 +306,7 @@
             if pool is not None:
                 return pool
             now = self.loop.time()
-            if self.contact.lost or now >= deadline:
+            if self.store_health.lost or now >= deadline:
                 return None
             changed = self.changed
             try:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -149,8 +149,8 @@
     def reason(self) -> str | None:
         """Return why the primary must be replaced, or None if it need not."""
         now = self.loop.time()
-        lane = self.group.primary_pool()
-        if lane is None:
+        pool = self.group.primary_pool()
+        if pool is None:
             if not self.group.pools:
                 return None
             if self.primary_missing_since is None:
@@ -158,13 +158,13 @@
             missing = now - self.primary_missing_since
             return MISSING if missing >= MISSING_PRIMARY_SECONDS else None
         self.primary_missing_since = None
-        if lane.server.leaving:
+        if pool.server.leaving:
             return LEAVING
         suspicion = self.group.suspicion.suspected_failure(now)
         if suspicion is not FailureKind.NONE:
             return str(suspicion.value)
         if self.group.switchover_trigger.lag_check_due(
-            now, lane.queue_nonempty_seconds()
+            now, pool.queue_nonempty_seconds()
         ):
             return REPLICAS_LAG
         return None
@@ -176,11 +176,11 @@
 
     async def probe_primary(self) -> None:
         """Probe a suspected primary."""
-        lane = self.group.primary_pool()
-        if lane is None:
+        pool = self.group.primary_pool()
+        if pool is None:
             return
         start = self.loop.time()
-        await self.questions.check_primary(lane)
+        await self.questions.check_primary(pool)
         self.not_before = start + 2 * POLL_SECONDS
 
     async def replace(self, reason: str) -> None:
@@ -416,14 +416,14 @@
           frozen: The frozen replicas.
         """
         deadline = self.loop.time() + PROMOTION_EFFECT_SECONDS
-        lane = self.group.pools.get(server_id)
-        while lane is not None and self.loop.time() < deadline:
-            if (await self.questions.check_primary(lane)).is_primary:
+        pool = self.group.pools.get(server_id)
+        while pool is not None and self.loop.time() < deadline:
+            if (await self.questions.check_primary(pool)).is_primary:
                 self.group.promoted(server_id)
-                await self.thaw([one for one in frozen if one.pool is not lane])
+                await self.thaw([one for one in frozen if one.pool is not pool])
                 return ReplacementResult.DONE
             await asyncio.sleep(POLL_SECONDS)
-            lane = self.group.pools.get(server_id)
+            pool = self.group.pools.get(server_id)
         self.log.event(
             "promotion_without_effect",
             group=self.group.name,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
@@ -107,7 +107,7 @@
         """Roll back the open transactions of the proxy."""
         self.closed = True
         self.home.connections.discard(self)
-        self.home.teller.unsubscribe(self)
+        self.home.table_publisher.unsubscribe(self)
         for _, transaction in self.transactions.values():
             transaction.roll_back()
         self.transactions.clear()
@@ -121,7 +121,9 @@
             self.abort()
             return
         if kind is Kind.FOLLOW:
-            self.home.teller.subscribe(self, (str(table) for table in fields))
+            self.home.table_publisher.subscribe(
+                self, (str(table) for table in fields)
+            )
         elif kind is Kind.UNDO:
             _, transaction = self.transactions.pop(fields[0], (None, None))
             if transaction is not None:
@@ -238,7 +240,8 @@
       directory: Looks up database groups.
       log: Records malformed messages.
       detect_dead_peer: Sets the socket options that detect a dead peer.
-      teller: Sends changes of the store's tables to subscribed proxies.
+      table_publisher: Sends changes of the store's tables to subscribed
+        proxies.
       connections: The open connections.
       forwarding_seen: Set when a proxy has forwarded a request to this home.
       server: The listening server, or None before the start.
@@ -252,7 +255,7 @@
         directory: Directory,
         log: DecisionLog,
         detect_dead_peer: Callable[[asyncio.BaseTransport], None],
-        teller: TablePublisher,
+        table_publisher: TablePublisher,
     ) -> None:
         self.host = host
         self.port = port
@@ -260,7 +263,7 @@
         self.directory = directory
         self.log = log
         self.detect_dead_peer = detect_dead_peer
-        self.teller = teller
+        self.table_publisher = table_publisher
         self.connections: set[HomeConnection] = set()
         self.forwarding_seen = asyncio.Event()
         self.server: asyncio.Server | None = None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -41,7 +41,7 @@
 
     Attributes:
       group: The database group.
-      lane: The connection pool that the link belongs to.
+      pool: The connection pool that the link belongs to.
       link: The connection.
       on_primary: Whether the server must be the primary for a statement to
         succeed.
@@ -55,13 +55,13 @@
     def __init__(
         self,
         group: "GroupRelay",
-        lane: ConnectionPool,
+        pool: ConnectionPool,
         link: ServerConnection,
         on_primary: bool,
         timeout_seconds: float,
     ) -> None:
         self.group = group
-        self.lane = lane
+        self.pool = pool
         self.link = link
         self.on_primary = on_primary
         self.timeout_seconds = timeout_seconds
@@ -95,7 +95,7 @@
                 "transaction_statement",
                 request=execution.request_id,
                 group=self.group.name,
-                server=self.lane.server.server_id,
+                server=self.pool.server.server_id,
                 outcome=reply.problem.value,
                 ms=round((self.loop.time() - start) * 1000),
             )
@@ -127,7 +127,7 @@
                 or self.loop.time() + pause >= deadline
             ):
                 return reply
-            self.lane.limiter.refused()
+            self.pool.limiter.refused()
             await asyncio.sleep(pause)
             refusals += 1
             commands = commands[-1:]
@@ -136,7 +136,7 @@
         self, commands: list[Command], deadline: float
     ) -> Reply | NotSent | None:
         """Send commands once they are admitted; return the last reply."""
-        if not await self.lane.begin_statement(self.link, deadline):
+        if not await self.pool.begin_statement(self.link, deadline):
             return NotSent()
         if self.ended:
             # The transaction was rolled back while the statement waited.
@@ -148,14 +148,14 @@
             return await await_result(future, deadline)
         finally:
             self.running = False
-            self.lane.end_statement(self.link)
+            self.pool.end_statement(self.link)
 
     def record_reply(self, sent_at: float, start: float, reply: Reply) -> None:
         """Update the state of the server and the group from a reply."""
-        condition = self.lane.condition
+        condition = self.pool.condition
         condition.position_seen(reply.position)
         if reply.problem is Problem.NOT_PRIMARY:
-            self.group.mark_not_primary(self.lane)
+            self.group.mark_not_primary(self.pool)
         elif reply.problem is None:
             condition.answered(self.loop.time() - start, self.loop.time())
             if self.on_primary:
@@ -172,7 +172,7 @@
             "transaction_statement",
             request=request_id,
             group=self.group.name,
-            server=self.lane.server.server_id,
+            server=self.pool.server.server_id,
             outcome=Problem.ROLLED_BACK.value,
             ms=round((self.loop.time() - start) * 1000),
         )
@@ -213,7 +213,7 @@
             self.release()
         else:
             self.roll_back()
-        self.lane.condition.position_seen(reply.position)
+        self.pool.condition.position_seen(reply.position)
         self.log_commit(session.database, request_id, start, reply)
         if reply.problem is None and self.wrote:
             session.record_position(reply.position)
@@ -221,7 +221,7 @@
             if reply.position:
                 self.group.watermarks.add(sent_at, reply.position)
         elif reply.problem is Problem.NOT_PRIMARY:
-            self.group.mark_not_primary(self.lane)
+            self.group.mark_not_primary(self.pool)
         return reply
 
     def log_commit(
@@ -237,7 +237,7 @@
             "transaction_ended",
             request=request_id,
             group=self.group.name,
-            server=self.lane.server.server_id,
+            server=self.pool.server.server_id,
             outcome=outcome,
             position=str(reply.position),
             ms=round(seconds * 1000),
@@ -266,12 +266,12 @@
     ) -> None:
         """Report an unanswered command to the group and log it."""
         silent = not self.link.closed
-        self.group.note_lost(self.lane, silent, start, wrote)
+        self.group.note_lost(self.pool, silent, start, wrote)
         self.group.log.event(
             event,
             request=request_id,
             group=self.group.name,
-            server=self.lane.server.server_id,
+            server=self.pool.server.server_id,
             silent=silent,
             waited=round(self.loop.time() - start, 3),
         )
@@ -288,24 +288,24 @@
             return
         self.ended = True
         release_after(
-            self.lane, self.link, self.link.send([RollbackTransaction()])[0]
+            self.pool, self.link, self.link.send([RollbackTransaction()])[0]
         )
 
     def release(self) -> None:
         """Return the connection to the pool."""
         if not self.ended:
             self.ended = True
-            self.lane.release(self.link)
+            self.pool.release(self.link)
 
     def drop(self) -> None:
         """Close the connection; the server rolls back the transaction."""
         if not self.ended:
             self.ended = True
-            self.lane.discard(self.link)
+            self.pool.discard(self.link)
 
 
 def release_after(
-    lane: ConnectionPool, link: ServerConnection, future: asyncio.Future[Reply]
+    pool: ConnectionPool, link: ServerConnection, future: asyncio.Future[Reply]
 ) -> None:
     """Return a connection to its pool after its last command is answered.
 
@@ -313,7 +313,7 @@
     `ROLLBACK_TIMEOUT_SECONDS`.
 
     Args:
-      lane: The connection pool that the link belongs to.
+      pool: The connection pool that the link belongs to.
       link: The connection.
       future: The reply to the last command.
     """
@@ -324,8 +324,8 @@
         timeout.cancel()
         failed = done.cancelled() or done.exception() is not None
         if failed:
-            lane.discard(link)
+            pool.discard(link)
         else:
-            lane.release(link)
+            pool.release(link)
 
     future.add_done_callback(finish)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -61,19 +61,20 @@
       log: The decision log.
       front: Accepts callers.
       timer: Runs periodic checks.
-      contact: Tracks whether the store answers.
+      store_health: Tracks whether the store answers.
       members: The VMs that are known from the store.
       homes: Selects the homes of a database group.
       directory: The declarations, groups and servers.
       followers: The followers of the store's tables, by table.
       router: Runs statements on homes or locally.
-      teller: Sends changes of the store's tables to subscribed proxies.
-      contacts: Subscribes to the tables of other proxies.
+      table_publisher: Sends changes of the store's tables to subscribed
+        proxies.
+      upstream_selector: Subscribes to the tables of other proxies.
       home_server: Runs the requests forwarded by other proxies.
       succession: Watches the primaries of all groups.
-      lane_care: Maintains idle server connections.
+      pool_maintenance: Maintains idle server connections.
       idle_transactions: Ends transactions that are idle for too long.
-      leaving: Shuts the process down gracefully.
+      graceful_shutdown: Shuts the process down gracefully.
     """
 
     def __init__(
@@ -92,7 +93,7 @@
         self.log = log
         self.front = front
         self.timer = TimerService()
-        self.contact = StoreHealth(log)
+        self.store_health = StoreHealth(log)
         own = own_member(settings)
         self.members = MemberRows(store, own, log, rng)
         self.homes = Homes(self.members)
@@ -100,7 +101,7 @@
             declaration_format,
             opener,
             ProxyLocation(settings.data_center, settings.regions),
-            self.contact,
+            self.store_health,
             self.homes,
             log,
         )
@@ -114,7 +115,7 @@
                     STARTUP_SETTLE_SECONDS,
                     self.directory.apply_declarations_image,
                     self.directory.apply_declarations_changes,
-                    self.contact,
+                    self.store_health,
                     log,
                     rng,
                     lambda: True,
@@ -126,7 +127,7 @@
                     STARTUP_SETTLE_SECONDS,
                     self.directory.apply_servers_image,
                     self.directory.apply_servers_changes,
-                    self.contact,
+                    self.store_health,
                     log,
                     rng,
                     self.needs_servers,
@@ -138,7 +139,7 @@
                     DISCOVERY_SECONDS,
                     self.members.apply_image,
                     self.members.apply_changes,
-                    self.contact,
+                    self.store_health,
                     log,
                     rng,
                     lambda: True,
@@ -150,8 +151,8 @@
         self.router = HomeRouter(
             runner, self.homes, log, self.followers, detect_dead_peer
         )
-        self.teller = TablePublisher(self.followers.values())
-        self.contacts = UpstreamSelector(
+        self.table_publisher = TablePublisher(self.followers.values())
+        self.upstream_selector = UpstreamSelector(
             self.router, self.members, self.followers.values(), log
         )
         self.home_server = HomeServer(
@@ -161,7 +162,7 @@
             self.directory,
             log,
             detect_dead_peer,
-            self.teller,
+            self.table_publisher,
         )
         # Unique per process, so that a restarted process does not treat the
         # claim of its predecessor on this VM as its own.
@@ -170,14 +171,14 @@
             self.directory,
             settings.vm,
             process,
-            ClaimRows(store, self.contact, log),
+            ClaimRows(store, self.store_health, log),
             authority,
             log,
             rng,
         )
         self.pool_maintenance = PoolMaintenance(self.directory)
         self.idle_transactions = IdleTransactions(self.directory, front, log)
-        self.leaving = GracefulShutdown(
+        self.graceful_shutdown = GracefulShutdown(
             front, self.home_server, settings.stop_grace_seconds, log
         )
 
@@ -203,8 +204,8 @@
         for follower in self.followers.values():
             await follower.start()
         await self.home_server.start()
-        await self.teller.start(self.timer)
-        await self.contacts.start(self.timer)
+        await self.table_publisher.start(self.timer)
+        await self.upstream_selector.start(self.timer)
         await self.front.start(self)
         await self.pool_maintenance.start(self.timer)
         await self.idle_transactions.start(self.timer)
@@ -233,13 +234,13 @@
         return (
             self.directory.ready.is_set()
             and (self.directory.servers_known or not self.is_home())
-            and not self.leaving.begun
+            and not self.graceful_shutdown.begun
             and not self.directory.cut_off()
         )
 
     async def stop(self) -> None:
         """Shut down gracefully, then close every component."""
-        await self.leaving.drain()
+        await self.graceful_shutdown.drain()
         await self.close()
 
     async def close(self) -> None:
@@ -247,8 +248,8 @@
         await self.succession.close()
         await self.front.close()
         await self.members.close()
-        await self.contacts.close()
-        await self.teller.close()
+        await self.upstream_selector.close()
+        await self.table_publisher.close()
         await self.router.close()
         await self.home_server.close()
         for follower in self.followers.values():
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -502,7 +502,7 @@
         _, group = resolved(session)
         pool = await group.wait_for_primary(attempts.deadline)
         if pool is None:
-            lost = group.contact.lost
+            lost = group.store_health.lost
             attempts.reason = UNSERVABLE if lost else NO_PRIMARY
             return None
         link = await self.acquire_link(pool, session, attempts)
