--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/control_commands.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/control_commands.py
@@ -89,7 +89,7 @@
         """
         link = await pool.acquire_control_link(CONNECT_TIMEOUT_SECONDS)
         if isinstance(link, NotOpened):
-            self.group.note_unreachable(pool, link.failure)
+            self.group.record_unreachable(pool, link.failure)
             return PrimaryCheck(pool, link.failure is OpenFailure.FULL)
         sent_at = boot_seconds()
         replies = await self.exchange(
@@ -126,7 +126,7 @@
         for future in link.send(commands):
             reply = await await_reply(future, start + COMMAND_TIMEOUT_SECONDS)
             if reply is None:
-                self.group.note_lost(pool, not link.closed, start)
+                self.group.record_unanswered(pool, not link.closed, start)
                 pool.discard(link)
                 return None
             replies.append(reply)
@@ -158,7 +158,7 @@
         while True:
             link = await pool.acquire_control_link(CONNECT_TIMEOUT_SECONDS)
             if isinstance(link, NotOpened):
-                self.group.note_unreachable(pool, link.failure)
+                self.group.record_unreachable(pool, link.failure)
                 return StatusResult(pool, None)
             replies = await self.exchange(pool, link, [command])
             if replies is None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -329,7 +329,7 @@
             else None
         )
 
-    def note_lost(
+    def record_unanswered(
         self,
         pool: ConnectionPool,
         silent: bool,
@@ -361,9 +361,9 @@
         """
         pool = self.pools.get(server_id)
         if pool is not None:
-            self.note_lost(pool, silent=False, sent_at=self.loop.time())
+            self.record_unanswered(pool, silent=False, sent_at=self.loop.time())
 
-    def note_unreachable(
+    def record_unreachable(
         self, pool: ConnectionPool, failure: OpenFailure
     ) -> None:
         """Record that no connection could be opened.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -61,7 +61,7 @@
 # Reasons to switch over from a healthy primary.
 PLANNED = frozenset({LEAVING, REPLICAS_LAG})
 
-Work = Coroutine[Any, Any, None]
+TaskCoroutine = Coroutine[Any, Any, None]
 
 
 class ReplacementResult(enum.Enum):
@@ -99,7 +99,7 @@
         rng: random.Random,
     ) -> None:
         self.group = group
-        self.questions = group.control
+        self.control = group.control
         self.vm = vm
         self.process = process
         self.claims = claims
@@ -126,17 +126,17 @@
         elif self.group.suspicion.has_evidence():
             self.start_task(self.probe_primary())
 
-    def start_task(self, work: Work) -> None:
+    def start_task(self, coroutine: TaskCoroutine) -> None:
         """Run a coroutine as a task; checks do nothing until it ends."""
         self.running = True
-        task = self.loop.create_task(self.run_task(work))
+        task = self.loop.create_task(self.run_task(coroutine))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def run_task(self, work: Work) -> None:
+    async def run_task(self, coroutine: TaskCoroutine) -> None:
         """Await a coroutine and clear `running`, also if it raises."""
         try:
-            await work
+            await coroutine
         finally:
             self.running = False
 
@@ -180,7 +180,7 @@
         if pool is None:
             return
         start = self.loop.time()
-        await self.questions.check_primary(pool)
+        await self.control.check_primary(pool)
         self.not_before = start + 2 * POLL_SECONDS
 
     async def replace(self, reason: str) -> None:
@@ -209,7 +209,7 @@
         if (
             lost
             and old_primary is not None
-            and (await self.questions.check_primary(old_primary)).alive
+            and (await self.control.check_primary(old_primary)).alive
         ):
             return
         held_claim = await self.claims.claim(
@@ -261,13 +261,11 @@
         primary = self.group.primary_pool()
         if primary is None:
             return []
-        primary_reply = await self.questions.send_command(
-            primary, QueryStatus()
-        )
+        primary_reply = await self.control.send_command(primary, QueryStatus())
         if primary_reply.status is None:
             return []
         replicas = self.replicas(primary)
-        answers = await self.questions.send_to_all(replicas, QueryStatus())
+        answers = await self.control.send_to_all(replicas, QueryStatus())
         return [
             one.status
             for one in answers
@@ -304,12 +302,12 @@
         replicas = self.replicas(old_primary)
         if await self.adopt_primary(replicas):
             return ReplacementResult.NOTHING_DONE
-        answers = await self.questions.send_to_all(replicas, QueryStatus())
+        answers = await self.control.send_to_all(replicas, QueryStatus())
         term = max(
             [self.next_term()]
             + [one.status.term + 1 for one in answers if one.status]
         )
-        answers = await self.questions.send_to_all(
+        answers = await self.control.send_to_all(
             replicas, SuspendReplication(term)
         )
         choice = choose_successor(
@@ -339,7 +337,7 @@
                 token=claim.token,
             )
             if held_claim.earlier_orders_settled:
-                await self.thaw(answers)
+                await self.resume_replication(answers)
             # Otherwise the replicas stay frozen: an order of an earlier claim
             # may still take effect, and commits acknowledged from now on
             # would be lost. The next attempt continues from this state.
@@ -354,15 +352,15 @@
         )
         return await self.promote_server(claim, choice.server_id, answers)
 
-    async def thaw(self, frozen: list[StatusResult]) -> None:
+    async def resume_replication(self, suspended: list[StatusResult]) -> None:
         """Let frozen replicas receive entries again."""
-        await self.questions.send_to_all(
-            [one.pool for one in frozen if one.status is not None],
+        await self.control.send_to_all(
+            [one.pool for one in suspended if one.status is not None],
             ResumeReplication(),
         )
 
     async def promote_server(
-        self, claim: Claim, server_id: str, frozen: list[StatusResult]
+        self, claim: Claim, server_id: str, suspended: list[StatusResult]
     ) -> "ReplacementResult":
         """Order the promotion of a server, repeatedly until it is answered.
 
@@ -385,7 +383,7 @@
                 answer=answer.value,
             )
             if answer is PromotionResult.DONE:
-                return await self.await_promotion(server_id, frozen)
+                return await self.await_promotion(server_id, suspended)
             unanswered = unanswered or answer is PromotionResult.UNANSWERED
             if answer is PromotionResult.REFUSED:
                 # Another process holds the claim, or the server is down.
@@ -403,7 +401,7 @@
             await asyncio.sleep(2 * POLL_SECONDS)
 
     async def await_promotion(
-        self, server_id: str, frozen: list[StatusResult]
+        self, server_id: str, suspended: list[StatusResult]
     ) -> "ReplacementResult":
         """Wait until a promoted server leads, then thaw the others.
 
@@ -418,9 +416,11 @@
         deadline = self.loop.time() + PROMOTION_EFFECT_SECONDS
         pool = self.group.pools.get(server_id)
         while pool is not None and self.loop.time() < deadline:
-            if (await self.questions.check_primary(pool)).is_primary:
+            if (await self.control.check_primary(pool)).is_primary:
                 self.group.promoted(server_id)
-                await self.thaw([one for one in frozen if one.pool is not pool])
+                await self.resume_replication(
+                    [one for one in suspended if one.pool is not pool]
+                )
                 return ReplacementResult.DONE
             await asyncio.sleep(POLL_SECONDS)
             pool = self.group.pools.get(server_id)
@@ -444,7 +444,7 @@
         Args:
           pools: The servers to ask.
         """
-        answers = await self.questions.check_primaries(pools)
+        answers = await self.control.check_primaries(pools)
         leading = [
             (one.term, one.pool.server.server_id)
             for one in answers
@@ -466,7 +466,7 @@
           held_claim: The claim on the succession.
           old_primary: The primary.
         """
-        primary_reply = await self.questions.check_primary(old_primary)
+        primary_reply = await self.control.check_primary(old_primary)
         if primary_reply.alive and not primary_reply.is_primary:
             # Another process has replaced it in the meantime.
             await self.find_primary()
@@ -474,7 +474,7 @@
         staying_replicas = [
             one for one in self.replicas(old_primary) if not one.server.leaving
         ]
-        answers = await self.questions.send_to_all(
+        answers = await self.control.send_to_all(
             staying_replicas, QueryStatus()
         )
         if not any(one.status for one in answers):
@@ -482,7 +482,7 @@
             return ReplacementResult.NOTHING_DONE
         terms = [one.status.term + 1 for one in answers if one.status]
         term = max([self.next_term(), *terms])
-        step_down_reply = await self.questions.send_command(
+        step_down_reply = await self.control.send_command(
             old_primary, Demote(term)
         )
         if step_down_reply.status is None:
@@ -506,7 +506,7 @@
         """Return the nearest replica that received a position, or None."""
         deadline = self.loop.time() + CATCH_UP_TIMEOUT_SECONDS
         while self.loop.time() < deadline:
-            answers = await self.questions.send_to_all(pools, QueryStatus())
+            answers = await self.control.send_to_all(pools, QueryStatus())
             candidates = [
                 one.pool
                 for one in answers
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
@@ -79,7 +79,7 @@
         self.leaving = False
         self.subscribed: set[str] = set()
         self.subscribed_at = 0.0
-        self.confirmed_at: dict[str, float] = {}
+        self.heartbeat_at: dict[str, float] = {}
         self.last_number = 0
         self.pending: dict[int, asyncio.Future[HomeAnswer]] = {}
         self.loop = asyncio.get_running_loop()
@@ -101,7 +101,7 @@
             self.subscribed_at = self.loop.time()
             self.send(pack(0, Kind.FOLLOW, *sorted(new_tables)))
 
-    def has_confirmed(self, table: str, seconds: float) -> bool:
+    def has_recent_heartbeat(self, table: str, seconds: float) -> bool:
         """Return whether the home has recently confirmed a table.
 
         Args:
@@ -109,7 +109,7 @@
           seconds: The maximum age of the confirmation.
         """
         oldest = self.loop.time() - seconds
-        return not self.closed and self.confirmed_at.get(table, oldest) > oldest
+        return not self.closed and self.heartbeat_at.get(table, oldest) > oldest
 
     def connection_lost(self, error: Exception | None) -> None:
         """Cancel the pending requests."""
@@ -131,7 +131,7 @@
             elif kind is Kind.CHANGES:
                 self.record_changes(*fields)
             elif kind is Kind.ALIVE:
-                self.record_confirmation(*fields)
+                self.record_heartbeat(*fields)
             elif kind is Kind.LEAVING:
                 self.leaving = True
         except (ValueError, TypeError, KeyError, AttributeError):
@@ -156,7 +156,7 @@
         else:
             follower.must_read = True
 
-    def record_confirmation(self, revisions: dict[str, int]) -> None:
+    def record_heartbeat(self, revisions: dict[str, int]) -> None:
         """Record that the home confirmed its revisions of tables.
 
         Args:
@@ -164,7 +164,7 @@
         """
         for table, revision in revisions.items():
             self.followers[table].advance_revision(revision)
-            self.confirmed_at[table] = self.loop.time()
+            self.heartbeat_at[table] = self.loop.time()
 
     def resolve_reply(self, number: int, fields: Fields) -> None:
         """Complete the pending request with the home's answer."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -266,7 +266,7 @@
     ) -> None:
         """Report an unanswered command to the group and log it."""
         silent = not self.link.closed
-        self.group.note_lost(self.pool, silent, start, wrote)
+        self.group.record_unanswered(self.pool, silent, start, wrote)
         self.group.log.event(
             event,
             request=request_id,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -189,7 +189,7 @@
         reply = await await_result(future, attempts.deadline)
         if reply is None:
             silent = not link.closed
-            group.note_lost(pool, silent, start, wrote=True)
+            group.record_unanswered(pool, silent, start, wrote=True)
             self.give_back(pool, link, broken=True)
             attempts.reason = SILENT if silent else CONNECTION_LOST
             return Reply(
@@ -200,7 +200,7 @@
         broken = reply.problem is Problem.UNKNOWN_NAME
         self.give_back(pool, link, broken)
         if reply.problem in NOT_RUN:
-            self.note_refusal(group, pool, reply, attempts)
+            self.record_refusal(group, pool, reply, attempts)
             return None
         if reply.problem is None:
             session.record_position(reply.position)
@@ -256,7 +256,7 @@
                 group.switchover_trigger.replica_answered(self.loop.time())
             return reply
         if reply.problem in NOT_RUN:
-            self.note_refusal(group, pool, reply, attempts)
+            self.record_refusal(group, pool, reply, attempts)
             return None
         if reply.problem in (Problem.FAILED, Problem.TIMED_OUT):
             attempts.excluded.add(pool.server.server_id)
@@ -280,7 +280,7 @@
         )
         now = self.loop.time()
         if reply is None:
-            self.note_no_answer(group, pool, link, attempts, start, limit)
+            self.record_no_answer(group, pool, link, attempts, start, limit)
             return None
         if reply.problem is None:
             pool.condition.answered(now - start, now)
@@ -288,7 +288,7 @@
             group.suspicion.answered()
         return reply
 
-    def note_no_answer(
+    def record_no_answer(
         self,
         group: GroupRelay,
         pool: ConnectionPool,
@@ -320,7 +320,7 @@
         pool.condition.failed(now)
         if not link.closed:
             pool.condition.timed_out(now - start)
-        group.note_lost(pool, not link.closed, start)
+        group.record_unanswered(pool, not link.closed, start)
 
     def attempt_seconds(
         self, pool: ConnectionPool, attempts: Attempts, now: float
@@ -386,13 +386,13 @@
         else:
             release_after(pool, link, futures[-1])
         if opened.problem is not None:
-            self.note_refusal(group, pool, opened, attempts)
+            self.record_refusal(group, pool, opened, attempts)
             return None
         if reply.problem is None and reply.position:
             group.watermarks.add(sent_at, reply.position)
         return self.accept_read(group, pool, reply, attempts)
 
-    def note_refusal(
+    def record_refusal(
         self,
         group: GroupRelay,
         pool: ConnectionPool,
@@ -482,13 +482,13 @@
         future = link.send(batch)[-1]
         reply = await await_reply(future, min(attempts.deadline, start + limit))
         if reply is None:
-            self.note_no_answer(group, pool, link, attempts, start, limit)
+            self.record_no_answer(group, pool, link, attempts, start, limit)
             self.give_back(pool, link, broken=True)
             return None
         pool.condition.position_seen(reply.position)
         if reply.problem is not None:
             self.give_back(pool, link, broken=False)
-            self.note_refusal(group, pool, reply, attempts)
+            self.record_refusal(group, pool, reply, attempts)
             return None
         pool.end_statement(link)
         return OpenTransaction(
@@ -526,7 +526,7 @@
             attempts.reason = granted.failure.value
             if granted.failure is not OpenFailure.FULL:
                 attempts.excluded.add(pool.server.server_id)
-                group.note_unreachable(pool, granted.failure)
+                group.record_unreachable(pool, granted.failure)
             return None
         return granted
 
--- a/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
@@ -23,7 +23,7 @@
     name: str = "plots"
     lost: int = 0
 
-    def note_lost(self, *_: object) -> None:
+    def record_unanswered(self, *_: object) -> None:
         self.lost += 1
 
 
