--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/await_reply.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/await_reply.py
@@ -27,7 +27,7 @@
 async def await_reply(
     future: asyncio.Future[Reply], deadline: float
 ) -> Reply | None:
-    """Return a reply, or None if the link was lost or the deadline passed.
+    """Return a reply, or None if the connection was lost or the deadline passed.
 
     Args:
       future: Receives the reply.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
@@ -54,15 +54,15 @@
 
 
 @attrs.frozen
-class IdleLink:
+class IdleConnection:
     """An idle connection.
 
     Attributes:
-      link: The connection.
+      connection: The connection.
       since: When it became idle, in seconds on the loop's clock.
     """
 
-    link: ServerConnection
+    connection: ServerConnection
     since: float
 
 
@@ -107,7 +107,7 @@
         self.limit = limit
         self.log = log
         self.condition = ServerCondition()
-        self.idle: list[IdleLink] = []
+        self.idle: list[IdleConnection] = []
         self.count = 0
         self.opening = 0
         self.full_until = 0.0
@@ -160,9 +160,9 @@
         deadline = self.overload_detector.wait_deadline(
             now, self.queue.length, limits
         )
-        link = self.take_idle(context)
-        if link is not None:
-            return self.check_out(link)
+        connection = self.take_idle(context)
+        if connection is not None:
+            return self.check_out(connection)
         ahead = self.queue.ahead_of(limits.priority)
         wait = self.wait_estimator.wait_seconds(ahead, self.limit)
         if self.count >= self.limit and now + wait >= deadline:
@@ -187,23 +187,23 @@
             self.condition.running = len(self.in_use)
         return granted
 
-    def check_in(self, link: ServerConnection) -> None:
+    def check_in(self, connection: ServerConnection) -> None:
         """Record that a connection is no longer in use."""
-        self.end_statement(link)
-        used_since = self.in_use.pop(link, None)
+        self.end_statement(connection)
+        used_since = self.in_use.pop(connection, None)
         if used_since is not None:
             self.wait_estimator.record_hold(self.loop.time() - used_since)
             self.condition.running = len(self.in_use)
 
-    def end_statement(self, link: ServerConnection) -> None:
+    def end_statement(self, connection: ServerConnection) -> None:
         """Record that a connection in use has no statement in flight."""
-        sent_at = self.executing.pop(link, None)
+        sent_at = self.executing.pop(connection, None)
         if sent_at is not None:
             self.limiter.leave(self.loop.time() - sent_at)
             self.open_more()
 
     async def begin_statement(
-        self, link: ServerConnection, deadline: float
+        self, connection: ServerConnection, deadline: float
     ) -> bool:
         """Wait until a transaction's next statement may be sent.
 
@@ -211,16 +211,16 @@
         to the pool or closed in the meantime.
 
         Args:
-          link: The transaction's connection.
+          connection: The transaction's connection.
           deadline: End of the wait, in seconds on the loop's clock.
         """
         limits = WaitLimits(TRANSACTION_PRIORITY, deadline, deadline)
         if await self.limiter.enter(limits) is not LimiterResult.GRANTED:
             return False
-        if link not in self.in_use:
+        if connection not in self.in_use:
             self.limiter.leave(0.0)
             return False
-        self.executing[link] = self.loop.time()
+        self.executing[connection] = self.loop.time()
         return True
 
     def queue_nonempty_seconds(self) -> float:
@@ -231,11 +231,13 @@
             self.limiter.overload_detector.nonempty_seconds(now),
         )
 
-    def has_spare_link(self) -> bool:
+    def has_spare_connection(self) -> bool:
         """Return whether a connection is idle or may be opened."""
         return bool(self.idle) or self.count < self.limit
 
-    async def acquire_control_link(self, timeout_seconds: float) -> OpenResult:
+    async def acquire_control_connection(
+        self, timeout_seconds: float
+    ) -> OpenResult:
         """Return a connection for a control command.
 
         The pool's limit does not apply to it.
@@ -244,9 +246,9 @@
           timeout_seconds: Time limit for opening a connection.
         """
         while self.idle:
-            link = self.take(-1)
-            if not link.closed:
-                return link
+            connection = self.take(-1)
+            if not connection.closed:
+                return connection
             self.count -= 1
         opened = await self.opener.open(self.server, timeout_seconds)
         if not isinstance(opened, NotOpened):
@@ -259,66 +261,68 @@
             best = min(
                 range(len(self.idle)),
                 key=lambda index: (
-                    self.idle[index].link.context.count_differences(context),
+                    self.idle[index].connection.context.count_differences(
+                        context
+                    ),
                     -index,
                 ),
             )
-            link = self.take(best)
-            if not link.closed:
-                return link
+            connection = self.take(best)
+            if not connection.closed:
+                return connection
             self.count -= 1
         return None
 
     def take(self, index: int) -> ServerConnection:
         """Remove a connection from the idle ones and return it."""
-        link = self.idle.pop(index).link
-        link.on_closed = None
-        return link
+        connection = self.idle.pop(index).connection
+        connection.on_closed = None
+        return connection
 
-    def idle_closed(self, link: ServerConnection) -> None:
+    def idle_closed(self, connection: ServerConnection) -> None:
         """Remove an idle connection that the server has closed."""
-        kept = [one for one in self.idle if one.link is not link]
+        kept = [one for one in self.idle if one.connection is not connection]
         self.count -= len(self.idle) - len(kept)
         self.idle = kept
         self.on_lost()
 
-    def release(self, link: ServerConnection) -> None:
+    def release(self, connection: ServerConnection) -> None:
         """Return a connection to the pool.
 
         A connection in a transaction is closed.
 
         Args:
-          link: The connection.
+          connection: The connection.
         """
-        self.check_in(link)
-        if link.state is not SessionState.IDLE:
+        self.check_in(connection)
+        if connection.state is not SessionState.IDLE:
             # The next statement on it would run inside this transaction.
             self.log.event(
                 "connection_not_idle",
                 server=self.server.server_id,
-                state=link.state.value,
+                state=connection.state.value,
             )
-            self.discard(link)
+            self.discard(connection)
             return
-        if link.closed or self.retired or self.count > self.limit:
-            self.discard(link)
+        if connection.closed or self.retired or self.count > self.limit:
+            self.discard(connection)
             return
         now = self.loop.time()
         while (waiter := self.queue.pop(now)) is not None:
             if not waiter.item.done():
-                waiter.item.set_result(link)
+                waiter.item.set_result(connection)
                 return
-        self.idle.append(IdleLink(link, now))
-        link.on_closed = functools.partial(self.idle_closed, link)
+        self.idle.append(IdleConnection(connection, now))
+        connection.on_closed = functools.partial(self.idle_closed, connection)
 
-    def discard(self, link: ServerConnection) -> None:
+    def discard(self, connection: ServerConnection) -> None:
         """Close a connection that cannot be reused.
 
         Args:
-          link: The connection.
+          connection: The connection.
         """
-        self.check_in(link)
-        link.close()
+        self.check_in(connection)
+        connection.close()
         self.count -= 1
         self.open_more()
 
@@ -402,7 +406,7 @@
         while len(self.idle) > keep and self.idle[0].since < oldest:
             self.discard(self.take(0))
 
-    def close_idle_links(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close all idle connections."""
         while self.idle:
             self.take(-1).close()
@@ -414,7 +418,7 @@
         Connections in use are closed when they are returned.
         """
         self.retired = True
-        self.close_idle_links()
+        self.close_idle_connections()
         gone = NotOpened(OpenFailure.WRONG_SERVER, "the server was removed")
         for waiting in self.queue.clear():
             if not waiting.done():
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/control_commands.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/control_commands.py
@@ -87,14 +87,16 @@
         Args:
           pool: The server's connection pool.
         """
-        link = await pool.acquire_control_link(CONNECT_TIMEOUT_SECONDS)
-        if isinstance(link, NotOpened):
-            self.group.record_unreachable(pool, link.failure)
-            return PrimaryCheck(pool, link.failure is OpenFailure.FULL)
+        connection = await pool.acquire_control_connection(
+            CONNECT_TIMEOUT_SECONDS
+        )
+        if isinstance(connection, NotOpened):
+            self.group.record_unreachable(pool, connection.failure)
+            return PrimaryCheck(pool, connection.failure is OpenFailure.FULL)
         sent_at = boot_seconds()
         replies = await self.exchange(
             pool,
-            link,
+            connection,
             [BeginTransaction(read_only=False), RollbackTransaction()],
         )
         if replies is None:
@@ -114,23 +116,23 @@
     async def exchange(
         self,
         pool: ConnectionPool,
-        link: ServerConnection,
+        connection: ServerConnection,
         commands: list[Command],
     ) -> list[Reply] | None:
         """Send commands and return all replies, or None if one is missing.
 
-        The link is returned to the pool, or closed if a reply is missing.
+        The connection is returned to the pool, or closed if a reply is missing.
         """
         start = self.loop.time()
         replies: list[Reply] = []
-        for future in link.send(commands):
+        for future in connection.send(commands):
             reply = await await_reply(future, start + COMMAND_TIMEOUT_SECONDS)
             if reply is None:
-                self.group.record_unanswered(pool, not link.closed, start)
-                pool.discard(link)
+                self.group.record_unanswered(pool, not connection.closed, start)
+                pool.discard(connection)
                 return None
             replies.append(reply)
-        pool.release(link)
+        pool.release(connection)
         return replies
 
     async def check_primaries(
@@ -156,24 +158,26 @@
         """
         deadline = self.loop.time() + COMMAND_TIMEOUT_SECONDS
         while True:
-            link = await pool.acquire_control_link(CONNECT_TIMEOUT_SECONDS)
-            if isinstance(link, NotOpened):
-                self.group.record_unreachable(pool, link.failure)
+            connection = await pool.acquire_control_connection(
+                CONNECT_TIMEOUT_SECONDS
+            )
+            if isinstance(connection, NotOpened):
+                self.group.record_unreachable(pool, connection.failure)
                 return StatusResult(pool, None)
-            replies = await self.exchange(pool, link, [command])
+            replies = await self.exchange(pool, connection, [command])
             if replies is None:
                 return StatusResult(pool, None)
             [reply] = replies
             full = reply.problem is Problem.BUSY
             if not full or self.loop.time() >= deadline:
-                return StatusResult(pool, self.status(link, reply))
+                return StatusResult(pool, self.status(connection, reply))
             await asyncio.sleep(BUSY_RETRY_SECONDS)
 
     def status(
-        self, link: ServerConnection, reply: Reply
+        self, connection: ServerConnection, reply: Reply
     ) -> ServerStatus | None:
         """Return the status in a reply; log a reply without one."""
-        status = link.status_of(reply)
+        status = connection.status_of(reply)
         if status is None:
             self.group.log.event(
                 "status_refused",
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -214,7 +214,7 @@
         )
 
     async def close(self) -> None:
-        """Cancel pending removals and retire all connection pools."""
+        """Cancel pending removals and retire the servers' connection pools."""
         for handle in self.removal_timers.values():
             handle.cancel()
         for group in self.groups.values():
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
@@ -30,32 +30,36 @@
 
 
 def setup_commands(
-    link: ServerConnection, context: SessionContext, execution: Execution | None
+    connection: ServerConnection,
+    context: SessionContext,
+    execution: Execution | None,
 ) -> list[Command]:
-    """Return the commands that set up a link for a session.
+    """Return the commands that set up a connection for a session.
 
-    The link's context is updated as if the commands had run.
+    The connection's context is updated as if the commands had run.
 
     Args:
-      link: The link on which the commands will be sent.
+      connection: The connection on which the commands will be sent.
       context: The session's settings and prepared statements.
       execution: The next statement, or None.
     """
     prepared = execution.prepared if execution else None
-    return [*link.context.plan_setup(context, prepared)]
+    return [*connection.context.plan_setup(context, prepared)]
 
 
 def forward_command(
-    link: ServerConnection, execution: Execution, needed: Position | None = None
+    connection: ServerConnection,
+    execution: Execution,
+    needed: Position | None = None,
 ) -> Command:
     """Return the command that carries a caller's statement.
 
     Args:
-      link: The link, already set up for the session.
+      connection: The connection, already set up for the session.
       execution: The statement.
       needed: The position that the server must have reached, or None.
     """
     if execution.prepared is None:
         return ForwardStatement(execution.request_id, execution.text, needed)
-    name = link.context.names[execution.prepared]
+    name = connection.context.names[execution.prepared]
     return ForwardPrepared(execution.request_id, name, execution.text, needed)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -170,7 +170,7 @@
                 self.connection_limit(),
                 SLOT_WINDOW * server.slots / self.homes.plan(self.group).homes,
                 self.log,
-                functools.partial(self.idle_link_lost, server.server_id),
+                functools.partial(self.idle_connection_lost, server.server_id),
             )
             self.pools[server.server_id] = pool
             self.log.event(
@@ -353,7 +353,7 @@
         else:
             self.suspicion.request_timed_out(sent_at)
 
-    def idle_link_lost(self, server_id: str) -> None:
+    def idle_connection_lost(self, server_id: str) -> None:
         """Record that a server closed an idle connection.
 
         Args:
@@ -441,7 +441,7 @@
     def refresh_watermark(self) -> None:
         """Start to fetch a watermark unless a fetch is in progress."""
         pool = self.usable_primary()
-        if pool is None or self.refreshing or not pool.has_spare_link():
+        if pool is None or self.refreshing or not pool.has_spare_connection():
             return
         self.refreshing = self.loop.create_task(self.fetch_watermark(pool))
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -292,7 +292,7 @@
     async def fail_over(
         self, held_claim: HeldClaim, old_primary: ConnectionPool | None
     ) -> "ReplacementResult":
-        """Freeze the replicas and promote the most advanced one.
+        """Suspend the replicas and promote the most advanced one.
 
         Args:
           held_claim: The claim on the succession.
@@ -338,7 +338,7 @@
             )
             if held_claim.earlier_orders_settled:
                 await self.resume_replication(answers)
-            # Otherwise the replicas stay frozen: an order of an earlier claim
+            # Otherwise the replicas stay suspended: an order of an earlier claim
             # may still take effect, and commits acknowledged from now on
             # would be lost. The next attempt continues from this state.
             return ReplacementResult.NOTHING_DONE
@@ -353,7 +353,7 @@
         return await self.promote_server(claim, choice.server_id, answers)
 
     async def resume_replication(self, suspended: list[StatusResult]) -> None:
-        """Let frozen replicas receive entries again."""
+        """Let suspended replicas receive entries again."""
         await self.control.send_to_all(
             [one.pool for one in suspended if one.status is not None],
             ResumeReplication(),
@@ -367,7 +367,7 @@
         Args:
           claim: The claim on the succession.
           server_id: The server to promote.
-          frozen: The frozen replicas, thawed once the server leads.
+          suspended: The suspended replicas, resumed once the server leads.
         """
         deadline = self.loop.time() + PROMOTION_TIMEOUT_SECONDS
         unanswered = False
@@ -403,15 +403,15 @@
     async def await_promotion(
         self, server_id: str, suspended: list[StatusResult]
     ) -> "ReplacementResult":
-        """Wait until a promoted server leads, then thaw the others.
+        """Wait until a promoted server leads, then resume the others.
 
         The order takes effect some time after its answer. Until then the old
-        primary leads, and a thawed replica would confirm commits that the
+        primary leads, and a resumed replica would confirm commits that the
         new primary lacks.
 
         Args:
           server_id: The promoted server.
-          frozen: The frozen replicas.
+          suspended: The suspended replicas.
         """
         deadline = self.loop.time() + PROMOTION_EFFECT_SECONDS
         pool = self.group.pools.get(server_id)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_stream.py
@@ -63,7 +63,7 @@
       leaving: Whether the home has asked for no new requests.
       subscribed: The tables to which this proxy is subscribed.
       subscribed_at: When the last subscription was sent.
-      confirmed_at: When the home last confirmed its revision of each table.
+      heartbeat_at: When the last heartbeat for each table was received.
       last_number: The number of the last request.
       pending: The unanswered requests, by number.
     """
@@ -102,11 +102,11 @@
             self.send(pack(0, Kind.FOLLOW, *sorted(new_tables)))
 
     def has_recent_heartbeat(self, table: str, seconds: float) -> bool:
-        """Return whether the home has recently confirmed a table.
+        """Return whether the home recently sent a heartbeat for a table.
 
         Args:
           table: The name of the table.
-          seconds: The maximum age of the confirmation.
+          seconds: The maximum age of the heartbeat.
         """
         oldest = self.loop.time() - seconds
         return not self.closed and self.heartbeat_at.get(table, oldest) > oldest
@@ -157,7 +157,7 @@
             follower.must_read = True
 
     def record_heartbeat(self, revisions: dict[str, int]) -> None:
-        """Record that the home confirmed its revisions of tables.
+        """Record a heartbeat of the home.
 
         Args:
           revisions: The revision that the home knows, by table.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -41,14 +41,14 @@
 
     Attributes:
       group: The database group.
-      pool: The connection pool that the link belongs to.
-      link: The connection.
+      pool: The connection pool that the connection belongs to.
+      connection: The connection.
       on_primary: Whether the server must be the primary for a statement to
         succeed.
       timeout_seconds: The timeout of a statement.
       wrote: Whether a write was started.
       running: Whether a statement is in flight.
-      ended: Whether the link was released or discarded, or is being rolled
+      ended: Whether the connection was released or discarded, or is being rolled
         back.
     """
 
@@ -56,13 +56,13 @@
         self,
         group: "GroupRelay",
         pool: ConnectionPool,
-        link: ServerConnection,
+        connection: ServerConnection,
         on_primary: bool,
         timeout_seconds: float,
     ) -> None:
         self.group = group
         self.pool = pool
-        self.link = link
+        self.connection = connection
         self.on_primary = on_primary
         self.timeout_seconds = timeout_seconds
         self.wrote = False
@@ -82,8 +82,8 @@
         self.wrote = self.wrote or execution.writes
         sent_at = boot_seconds()
         start = self.loop.time()
-        commands = setup_commands(self.link, session.context, execution)
-        commands.append(forward_command(self.link, execution))
+        commands = setup_commands(self.connection, session.context, execution)
+        commands.append(forward_command(self.connection, execution))
         reply = await self.send(commands, start + self.timeout_seconds)
         if isinstance(reply, NotSent):
             return self.not_admitted(execution.request_id, start)
@@ -136,7 +136,7 @@
         self, commands: list[Command], deadline: float
     ) -> Reply | NotSent | None:
         """Send commands once they are admitted; return the last reply."""
-        if not await self.pool.begin_statement(self.link, deadline):
+        if not await self.pool.begin_statement(self.connection, deadline):
             return NotSent()
         if self.ended:
             # The transaction was rolled back while the statement waited.
@@ -144,11 +144,11 @@
             return NotSent()
         self.running = True
         try:
-            future = self.link.send(commands)[-1]
+            future = self.connection.send(commands)[-1]
             return await await_result(future, deadline)
         finally:
             self.running = False
-            self.pool.end_statement(self.link)
+            self.pool.end_statement(self.connection)
 
     def record_reply(self, sent_at: float, start: float, reply: Reply) -> None:
         """Update the state of the server and the group from a reply."""
@@ -209,7 +209,7 @@
             return self.not_admitted(request_id, start)
         if reply is None:
             return self.commit_unanswered(request_id, start)
-        if self.link.state is SessionState.IDLE:
+        if self.connection.state is SessionState.IDLE:
             self.release()
         else:
             self.roll_back()
@@ -265,7 +265,7 @@
         wrote: bool = False,
     ) -> None:
         """Report an unanswered command to the group and log it."""
-        silent = not self.link.closed
+        silent = not self.connection.closed
         self.group.record_unanswered(self.pool, silent, start, wrote)
         self.group.log.event(
             event,
@@ -283,29 +283,33 @@
         """
         if self.ended:
             return
-        if self.link.closed or self.running:
+        if self.connection.closed or self.running:
             self.drop()
             return
         self.ended = True
         release_after(
-            self.pool, self.link, self.link.send([RollbackTransaction()])[0]
+            self.pool,
+            self.connection,
+            self.connection.send([RollbackTransaction()])[0],
         )
 
     def release(self) -> None:
         """Return the connection to the pool."""
         if not self.ended:
             self.ended = True
-            self.pool.release(self.link)
+            self.pool.release(self.connection)
 
     def drop(self) -> None:
         """Close the connection; the server rolls back the transaction."""
         if not self.ended:
             self.ended = True
-            self.pool.discard(self.link)
+            self.pool.discard(self.connection)
 
 
 def release_after(
-    pool: ConnectionPool, link: ServerConnection, future: asyncio.Future[Reply]
+    pool: ConnectionPool,
+    connection: ServerConnection,
+    future: asyncio.Future[Reply],
 ) -> None:
     """Return a connection to its pool after its last command is answered.
 
@@ -313,19 +317,19 @@
     `ROLLBACK_TIMEOUT_SECONDS`.
 
     Args:
-      pool: The connection pool that the link belongs to.
-      link: The connection.
+      pool: The connection pool that the connection belongs to.
+      connection: The connection.
       future: The reply to the last command.
     """
     loop = asyncio.get_running_loop()
-    timeout = loop.call_later(ROLLBACK_TIMEOUT_SECONDS, link.close)
+    timeout = loop.call_later(ROLLBACK_TIMEOUT_SECONDS, connection.close)
 
     def finish(done: asyncio.Future[Reply]) -> None:
         timeout.cancel()
         failed = done.cancelled() or done.exception() is not None
         if failed:
-            pool.discard(link)
+            pool.discard(connection)
         else:
-            pool.release(link)
+            pool.release(connection)
 
     future.add_done_callback(finish)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/pool_maintenance.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/pool_maintenance.py
@@ -44,7 +44,7 @@
                 pool.limiter.window.max_size = pool.limit
                 if not group.homes.is_home(group.group):
                     # They date from when this proxy was a home of the group.
-                    pool.close_idle_links()
+                    pool.close_idle_connections()
                 pool.trim(self.idle_target(group, pool))
 
     def idle_target(self, group: GroupRelay, pool: ConnectionPool) -> int:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -177,20 +177,20 @@
     ) -> Reply | None:
         """Attempt to write once; return None if nothing ran."""
         spec, group = resolved(session)
-        acquired = await self.acquire_primary_link(session, attempts)
+        acquired = await self.acquire_primary_connection(session, attempts)
         if acquired is None:
             return None
-        pool, link = acquired
-        batch = setup_commands(link, session.context, execution)
-        batch.append(forward_command(link, execution))
+        pool, connection = acquired
+        batch = setup_commands(connection, session.context, execution)
+        batch.append(forward_command(connection, execution))
         start = self.loop.time()
         sent_at = boot_seconds()
-        future = link.send(batch)[-1]
+        future = connection.send(batch)[-1]
         reply = await await_result(future, attempts.deadline)
         if reply is None:
-            silent = not link.closed
+            silent = not connection.closed
             group.record_unanswered(pool, silent, start, wrote=True)
-            self.give_back(pool, link, broken=True)
+            self.give_back(pool, connection, broken=True)
             attempts.reason = SILENT if silent else CONNECTION_LOST
             return Reply(
                 problem=Problem.IN_DOUBT,
@@ -198,7 +198,7 @@
             )
         pool.condition.position_seen(reply.position)
         broken = reply.problem is Problem.UNKNOWN_NAME
-        self.give_back(pool, link, broken)
+        self.give_back(pool, connection, broken)
         if reply.problem in NOT_RUN:
             self.record_refusal(group, pool, reply, attempts)
             return None
@@ -226,20 +226,20 @@
             )
         if pool is None:
             return await self.read_from_primary(session, execution, attempts)
-        link = await self.acquire_link(pool, session, attempts)
-        if link is None:
+        connection = await self.acquire_connection(pool, session, attempts)
+        if connection is None:
             return None
-        batch = setup_commands(link, session.context, execution)
-        batch.append(forward_command(link, execution, needed))
+        batch = setup_commands(connection, session.context, execution)
+        batch.append(forward_command(connection, execution, needed))
         reply = await self.read_reply(
-            group, pool, link, link.send(batch)[-1], attempts
+            group, pool, connection, connection.send(batch)[-1], attempts
         )
         if reply is None:
-            self.give_back(pool, link, broken=True)
+            self.give_back(pool, connection, broken=True)
             return None
         pool.condition.position_seen(reply.position)
         broken = reply.problem is Problem.UNKNOWN_NAME
-        self.give_back(pool, link, broken)
+        self.give_back(pool, connection, broken)
         return self.accept_read(group, pool, reply, attempts)
 
     def accept_read(
@@ -268,7 +268,7 @@
         self,
         group: GroupRelay,
         pool: ConnectionPool,
-        link: ServerConnection,
+        connection: ServerConnection,
         future: asyncio.Future[Reply],
         attempts: Attempts,
     ) -> Reply | None:
@@ -280,7 +280,9 @@
         )
         now = self.loop.time()
         if reply is None:
-            self.record_no_answer(group, pool, link, attempts, start, limit)
+            self.record_no_answer(
+                group, pool, connection, attempts, start, limit
+            )
             return None
         if reply.problem is None:
             pool.condition.answered(now - start, now)
@@ -292,7 +294,7 @@
         self,
         group: GroupRelay,
         pool: ConnectionPool,
-        link: ServerConnection,
+        connection: ServerConnection,
         attempts: Attempts,
         start: float,
         limit: float,
@@ -302,25 +304,25 @@
         Args:
           group: The statement's group.
           pool: The connection pool of the server.
-          link: The connection on which the statement was sent.
+          connection: The connection on which the statement was sent.
           attempts: The statement's attempts.
           start: When it was sent, in seconds on the loop's clock.
           limit: Time limit of the attempt in seconds; the wait is shorter if
             the statement's deadline comes first.
         """
         now = self.loop.time()
-        if not link.closed and now - start < limit:
+        if not connection.closed and now - start < limit:
             # Neither the statement's deadline nor a lost reply is evidence
             # against the server.
             late = now >= attempts.deadline
             attempts.reason = OUT_OF_TIME if late else ANSWER_LOST
             return
-        attempts.reason = CONNECTION_LOST if link.closed else SILENT
+        attempts.reason = CONNECTION_LOST if connection.closed else SILENT
         attempts.excluded.add(pool.server.server_id)
         pool.condition.failed(now)
-        if not link.closed:
+        if not connection.closed:
             pool.condition.timed_out(now - start)
-        group.record_unanswered(pool, not link.closed, start)
+        group.record_unanswered(pool, not connection.closed, start)
 
     def attempt_seconds(
         self, pool: ConnectionPool, attempts: Attempts, now: float
@@ -364,27 +366,29 @@
         but refuses the statements of a read-write transaction.
         """
         spec, group = resolved(session)
-        acquired = await self.acquire_primary_link(session, attempts)
+        acquired = await self.acquire_primary_connection(session, attempts)
         if acquired is None:
             return None
-        pool, link = acquired
-        batch = setup_commands(link, session.context, execution)
+        pool, connection = acquired
+        batch = setup_commands(connection, session.context, execution)
         opening = len(batch)
         batch.append(commands.BeginTransaction(read_only=False))
-        batch.append(forward_command(link, execution))
+        batch.append(forward_command(connection, execution))
         batch.append(commands.RollbackTransaction())
         sent_at = boot_seconds()
-        futures = link.send(batch)
-        reply = await self.read_reply(group, pool, link, futures[-2], attempts)
+        futures = connection.send(batch)
+        reply = await self.read_reply(
+            group, pool, connection, futures[-2], attempts
+        )
         if reply is None:
-            self.give_back(pool, link, broken=True)
+            self.give_back(pool, connection, broken=True)
             return None
         opened = futures[opening].result()
         pool.condition.position_seen(reply.position)
         if reply.problem is Problem.UNKNOWN_NAME:
-            self.give_back(pool, link, broken=True)
+            self.give_back(pool, connection, broken=True)
         else:
-            release_after(pool, link, futures[-1])
+            release_after(pool, connection, futures[-1])
         if opened.problem is not None:
             self.record_refusal(group, pool, opened, attempts)
             return None
@@ -464,38 +468,42 @@
             )
         on_primary = pool is None
         if pool is None:
-            acquired = await self.acquire_primary_link(session, attempts)
+            acquired = await self.acquire_primary_connection(session, attempts)
             if acquired is None:
                 return None
-            pool, link = acquired
+            pool, connection = acquired
         else:
-            read_link = await self.acquire_link(pool, session, attempts)
-            if read_link is None:
+            read_connection = await self.acquire_connection(
+                pool, session, attempts
+            )
+            if read_connection is None:
                 return None
-            link = read_link
-        batch = setup_commands(link, session.context, execution)
+            connection = read_connection
+        batch = setup_commands(connection, session.context, execution)
         batch.append(
             commands.BeginTransaction(read_only=not on_primary, needed=needed)
         )
         start = self.loop.time()
         limit = self.attempt_seconds(pool, attempts, start)
-        future = link.send(batch)[-1]
+        future = connection.send(batch)[-1]
         reply = await await_reply(future, min(attempts.deadline, start + limit))
         if reply is None:
-            self.record_no_answer(group, pool, link, attempts, start, limit)
-            self.give_back(pool, link, broken=True)
+            self.record_no_answer(
+                group, pool, connection, attempts, start, limit
+            )
+            self.give_back(pool, connection, broken=True)
             return None
         pool.condition.position_seen(reply.position)
         if reply.problem is not None:
-            self.give_back(pool, link, broken=False)
+            self.give_back(pool, connection, broken=False)
             self.record_refusal(group, pool, reply, attempts)
             return None
-        pool.end_statement(link)
+        pool.end_statement(connection)
         return OpenTransaction(
-            group, pool, link, on_primary, spec.statement_timeout_seconds
+            group, pool, connection, on_primary, spec.statement_timeout_seconds
         )
 
-    async def acquire_primary_link(
+    async def acquire_primary_connection(
         self, session: SessionView, attempts: Attempts
     ) -> tuple[ConnectionPool, ServerConnection] | None:
         """Return a connection to the primary, or None."""
@@ -505,10 +513,10 @@
             lost = group.store_health.lost
             attempts.reason = UNSERVABLE if lost else NO_PRIMARY
             return None
-        link = await self.acquire_link(pool, session, attempts)
-        return (pool, link) if link else None
+        connection = await self.acquire_connection(pool, session, attempts)
+        return (pool, connection) if connection else None
 
-    async def acquire_link(
+    async def acquire_connection(
         self, pool: ConnectionPool, session: SessionView, attempts: Attempts
     ) -> ServerConnection | None:
         """Return a connection of a pool, or None if there is none in time."""
@@ -543,13 +551,13 @@
         return WaitLimits(spec.priority, latest, min(latest, early))
 
     def give_back(
-        self, pool: ConnectionPool, link: ServerConnection, broken: bool
+        self, pool: ConnectionPool, connection: ServerConnection, broken: bool
     ) -> None:
         """Return a connection to its pool after a statement, or close it."""
         if broken:
-            pool.discard(link)
+            pool.discard(connection)
         else:
-            pool.release(link)
+            pool.release(connection)
 
 
 def resolved(session: SessionView) -> tuple[DatabaseSpec, GroupRelay]:
--- a/packages/jackdawcrank-proxy/tests/relay/conftest.py
+++ b/packages/jackdawcrank-proxy/tests/relay/conftest.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define(eq=False)
-class FakeLink:
+class FakeConnection:
     """A connection whose replies are set by the test.
 
     Attributes:
@@ -55,24 +55,24 @@
       opened: The connections that were opened.
     """
 
-    pending_opens: list[asyncio.Future[FakeLink | NotOpened]] = attrs.Factory(
-        list
+    pending_opens: list[asyncio.Future[FakeConnection | NotOpened]] = (
+        attrs.Factory(list)
     )
-    opened: list[FakeLink] = attrs.Factory(list)
+    opened: list[FakeConnection] = attrs.Factory(list)
 
     async def open(
         self, server: ListedServer, timeout_seconds: float
-    ) -> FakeLink | NotOpened:
+    ) -> FakeConnection | NotOpened:
         future = asyncio.get_running_loop().create_future()
         self.pending_opens.append(future)
         return await future
 
-    async def complete_next_open(self) -> FakeLink:
-        link = FakeLink()
-        self.opened.append(link)
-        self.pending_opens.pop(0).set_result(link)
+    async def complete_next_open(self) -> FakeConnection:
+        connection = FakeConnection()
+        self.opened.append(connection)
+        self.pending_opens.pop(0).set_result(connection)
         await run_ready_tasks()
-        return link
+        return connection
 
 
 async def run_ready_tasks() -> None:
--- a/packages/jackdawcrank-proxy/tests/relay/test_connection_pool.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_connection_pool.py
@@ -111,8 +111,8 @@
     for _ in range(2):
         await opener.complete_next_open()
     assert await asyncio.gather(*requests) == opener.opened
-    for link in opener.opened:
-        pool.release(link)
+    for connection in opener.opened:
+        pool.release(connection)
     pool.limit = 1
     pool.trim(keep=1)
     assert (pool.count, len(pool.idle)) == (1, 1)
--- a/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
@@ -14,7 +14,7 @@
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
 from jackdawcrank_policy.sessions import SessionContext
 
-from .conftest import FakeLink, FakeOpener, run_ready_tasks
+from .conftest import FakeConnection, FakeOpener, run_ready_tasks
 
 
 @attrs.define
@@ -45,13 +45,13 @@
 async def transaction(
     pool: ConnectionPool, opener: FakeOpener, group: FakeGroup
 ) -> OpenTransaction:
-    link = FakeLink(state=SessionState.IN_TRANSACTION)
+    connection = FakeConnection(state=SessionState.IN_TRANSACTION)
     pool.count = 1
-    pool.check_out(link)
+    pool.check_out(connection)
     # The server is at its limit, so a statement has to wait.
     pool.limiter.in_flight_count = 2
     return OpenTransaction(
-        typing.cast(GroupRelay, group), pool, link, True, 0.05
+        typing.cast(GroupRelay, group), pool, connection, True, 0.05
     )
 
 
@@ -82,7 +82,7 @@
     pool.limiter.in_flight_count = 0
     reply = await transaction.commit(SESSION, "r2")
     assert reply.problem is Problem.IN_DOUBT
-    assert transaction.link.closed
+    assert transaction.connection.closed
     assert group.lost == 1
 
 
@@ -90,14 +90,16 @@
     transaction: OpenTransaction, pool: ConnectionPool
 ) -> None:
     await transaction.run(SESSION, Execution("r1", True, "WRITE a b"))
-    link = typing.cast(FakeLink, transaction.link)
-    link.state = SessionState.IDLE
-    link.sent[-1][1].set_result(Reply())
+    connection = typing.cast(FakeConnection, transaction.connection)
+    connection.state = SessionState.IDLE
+    connection.sent[-1][1].set_result(Reply())
     await run_ready_tasks()
-    assert [one.link for one in pool.idle] == [link]
+    assert [one.connection for one in pool.idle] == [connection]
     await asyncio.sleep(0)
 
 
 def is_rolled_back(transaction: OpenTransaction) -> bool:
-    link = typing.cast(FakeLink, transaction.link)
-    return [command for command, _ in link.sent] == [RollbackTransaction()]
+    connection = typing.cast(FakeConnection, transaction.connection)
+    return [command for command, _ in connection.sent] == [
+        RollbackTransaction()
+    ]
