--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
@@ -419,7 +419,9 @@
         """
         self.retired = True
         self.close_idle_connections()
-        gone = NotOpened(OpenFailure.WRONG_SERVER, "the server was removed")
+        server_removed = NotOpened(
+            OpenFailure.WRONG_SERVER, "the server was removed"
+        )
         for waiting in self.queue.clear():
             if not waiting.done():
-                waiting.set_result(gone)
+                waiting.set_result(server_removed)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -39,14 +39,14 @@
 
     def __init__(
         self,
-        declaration_format: DeclarationDecoder,
+        declaration_decoder: DeclarationDecoder,
         opener: ConnectionOpener,
         proxy_location: ProxyLocation,
         store_health: StoreHealth,
         homes: Homes,
         log: DecisionLog,
     ) -> None:
-        self.declaration_format = declaration_format
+        self.declaration_decoder = declaration_decoder
         self.opener = opener
         self.proxy_location = proxy_location
         self.store_health = store_health
@@ -99,7 +99,7 @@
         Args:
           row: The stored declarations.
         """
-        declarations = self.declaration_format.read_declarations(row)
+        declarations = self.declaration_decoder.read_declarations(row)
         if declarations is None:
             return
         if not declarations.supersedes(self.declarations):
@@ -145,7 +145,7 @@
         Args:
           row: The stored report.
         """
-        server = self.declaration_format.read_server(row)
+        server = self.declaration_decoder.read_server(row)
         if server is None:
             self.log.event("report_unreadable", key=row.key)
             self.servers.pop(row.key, None)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -94,7 +94,7 @@
         vm: str,
         process: str,
         claims: ClaimRows,
-        authority: PromotionService,
+        promotion_service: PromotionService,
         log: DecisionLog,
         rng: random.Random,
     ) -> None:
@@ -103,7 +103,7 @@
         self.vm = vm
         self.process = process
         self.claims = claims
-        self.authority = authority
+        self.promotion_service = promotion_service
         self.log = log
         self.rng = rng
         self.running = False
@@ -372,7 +372,7 @@
         deadline = self.loop.time() + PROMOTION_TIMEOUT_SECONDS
         unanswered = False
         while True:
-            answer = await self.authority.promote(
+            answer = await self.promotion_service.promote(
                 self.group.name, server_id, self.vm, claim.token
             )
             self.log.event(
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -81,9 +81,9 @@
         self,
         settings: RelaySettings,
         store: MetadataStore,
-        declaration_format: DeclarationDecoder,
+        declaration_decoder: DeclarationDecoder,
         opener: ConnectionOpener,
-        authority: PromotionService,
+        promotion_service: PromotionService,
         front: CallerFrontend,
         log: DecisionLog,
         detect_dead_peer: Callable[[asyncio.BaseTransport], None],
@@ -98,7 +98,7 @@
         self.members = MemberRows(store, own, log, rng)
         self.homes = Homes(self.members)
         self.directory = Directory(
-            declaration_format,
+            declaration_decoder,
             opener,
             ProxyLocation(settings.data_center, settings.regions),
             self.store_health,
@@ -110,7 +110,7 @@
             for follower in (
                 TableFollower(
                     store,
-                    declaration_format.declarations_table,
+                    declaration_decoder.declarations_table,
                     settings.configuration_seconds * DECLARATIONS_WAIT_SHARE,
                     STARTUP_SETTLE_SECONDS,
                     self.directory.apply_declarations_image,
@@ -122,7 +122,7 @@
                 ),
                 TableFollower(
                     store,
-                    declaration_format.servers_table,
+                    declaration_decoder.servers_table,
                     settings.drain_seconds * SERVERS_WAIT_SHARE,
                     STARTUP_SETTLE_SECONDS,
                     self.directory.apply_servers_image,
@@ -172,7 +172,7 @@
             settings.vm,
             process,
             ClaimRows(store, self.store_health, log),
-            authority,
+            promotion_service,
             log,
             rng,
         )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_runner.py
@@ -52,7 +52,7 @@
 SILENT = "silent"
 CONNECTION_LOST = "connection lost"
 ANSWER_LOST = "answer lost"
-OUT_OF_TIME = "out of time"
+DEADLINE_EXCEEDED = "out of time"
 
 
 @attrs.define
@@ -190,7 +190,7 @@
         if reply is None:
             silent = not connection.closed
             group.record_unanswered(pool, silent, start, wrote=True)
-            self.give_back(pool, connection, broken=True)
+            self.return_connection(pool, connection, broken=True)
             attempts.reason = SILENT if silent else CONNECTION_LOST
             return Reply(
                 problem=Problem.IN_DOUBT,
@@ -198,7 +198,7 @@
             )
         pool.condition.position_seen(reply.position)
         broken = reply.problem is Problem.UNKNOWN_NAME
-        self.give_back(pool, connection, broken)
+        self.return_connection(pool, connection, broken)
         if reply.problem in NOT_RUN:
             self.record_refusal(group, pool, reply, attempts)
             return None
@@ -235,11 +235,11 @@
             group, pool, connection, connection.send(batch)[-1], attempts
         )
         if reply is None:
-            self.give_back(pool, connection, broken=True)
+            self.return_connection(pool, connection, broken=True)
             return None
         pool.condition.position_seen(reply.position)
         broken = reply.problem is Problem.UNKNOWN_NAME
-        self.give_back(pool, connection, broken)
+        self.return_connection(pool, connection, broken)
         return self.accept_read(group, pool, reply, attempts)
 
     def accept_read(
@@ -315,7 +315,7 @@
             # Neither the statement's deadline nor a lost reply is evidence
             # against the server.
             late = now >= attempts.deadline
-            attempts.reason = OUT_OF_TIME if late else ANSWER_LOST
+            attempts.reason = DEADLINE_EXCEEDED if late else ANSWER_LOST
             return
         attempts.reason = CONNECTION_LOST if connection.closed else SILENT
         attempts.excluded.add(pool.server.server_id)
@@ -381,12 +381,12 @@
             group, pool, connection, futures[-2], attempts
         )
         if reply is None:
-            self.give_back(pool, connection, broken=True)
+            self.return_connection(pool, connection, broken=True)
             return None
         opened = futures[opening].result()
         pool.condition.position_seen(reply.position)
         if reply.problem is Problem.UNKNOWN_NAME:
-            self.give_back(pool, connection, broken=True)
+            self.return_connection(pool, connection, broken=True)
         else:
             release_after(pool, connection, futures[-1])
         if opened.problem is not None:
@@ -491,11 +491,11 @@
             self.record_no_answer(
                 group, pool, connection, attempts, start, limit
             )
-            self.give_back(pool, connection, broken=True)
+            self.return_connection(pool, connection, broken=True)
             return None
         pool.condition.position_seen(reply.position)
         if reply.problem is not None:
-            self.give_back(pool, connection, broken=False)
+            self.return_connection(pool, connection, broken=False)
             self.record_refusal(group, pool, reply, attempts)
             return None
         pool.end_statement(connection)
@@ -550,7 +550,7 @@
         early = attempts.started_at + seconds * OVERLOAD_WAIT_SHARE
         return WaitLimits(spec.priority, latest, min(latest, early))
 
-    def give_back(
+    def return_connection(
         self, pool: ConnectionPool, connection: ServerConnection, broken: bool
     ) -> None:
         """Return a connection to its pool after a statement, or close it."""
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
@@ -28,7 +28,7 @@
         vm: str,
         process: str,
         claims: ClaimRows,
-        authority: PromotionService,
+        promotion_service: PromotionService,
         log: DecisionLog,
         rng: random.Random,
     ) -> None:
@@ -36,7 +36,7 @@
         self.vm = vm
         self.process = process
         self.claims = claims
-        self.authority = authority
+        self.promotion_service = promotion_service
         self.log = log
         self.rng = rng
         self.successions: dict[str, GroupSuccession] = {}
@@ -75,7 +75,7 @@
                     self.vm,
                     self.process,
                     self.claims,
-                    self.authority,
+                    self.promotion_service,
                     self.log,
                     self.rng,
                 )
--- a/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
@@ -21,10 +21,10 @@
 class FakeGroup:
     log: DecisionLog
     name: str = "plots"
-    lost: int = 0
+    unanswered: int = 0
 
     def record_unanswered(self, *_: object) -> None:
-        self.lost += 1
+        self.unanswered += 1
 
 
 @attrs.define
@@ -62,7 +62,7 @@
     assert reply.problem is Problem.ROLLED_BACK
     assert is_rolled_back(transaction)
     # A full server must not be reported as unresponsive.
-    assert group.lost == 0
+    assert group.unanswered == 0
 
 
 async def test_commit_that_was_not_sent_is_not_in_doubt(
@@ -72,7 +72,7 @@
     reply = await transaction.commit(SESSION, "r2")
     assert reply.problem is Problem.ROLLED_BACK
     assert is_rolled_back(transaction)
-    assert group.lost == 0
+    assert group.unanswered == 0
 
 
 async def test_commit_that_was_sent_and_not_answered_is_in_doubt(
@@ -83,7 +83,7 @@
     reply = await transaction.commit(SESSION, "r2")
     assert reply.problem is Problem.IN_DOUBT
     assert transaction.connection.closed
-    assert group.lost == 1
+    assert group.unanswered == 1
 
 
 async def test_connection_is_released_after_the_rollback_reply(
