--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/await_reply.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/await_reply.py
@@ -9,7 +9,7 @@
 async def await_result(
     future: asyncio.Future[Reply], deadline: float
 ) -> Reply | None:
-    """Return the reply to a caller's statement, or None without one.
+    """Return the reply to a caller's statement, or None if there is none.
 
     A successful reply without the server's signature belongs to another
     command, which means that the statement's own reply was lost.
@@ -27,7 +27,7 @@
 async def await_reply(
     future: asyncio.Future[Reply], deadline: float
 ) -> Reply | None:
-    """Return a reply, or None if the connection was lost or the deadline passed.
+    """Return a reply, or None on a lost connection or a passed deadline.
 
     Args:
       future: Receives the reply.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/claim_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/claim_rows.py
@@ -125,7 +125,7 @@
 
 
 def encode_claim(claim: Claim) -> bytes:
-    """Return the stored form of a claim.
+    """Return a claim encoded as the value of a row.
 
     Args:
       claim: The claim.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/clocks.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/clocks.py
@@ -4,5 +4,5 @@
 
 
 def boot_seconds() -> float:
-    """Return the seconds since boot, including time in suspension."""
+    """Return the seconds since boot, including suspended time."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/connection_pool.py
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class WaitLimitExceeded:
-    """The statement was not admitted, or could not be, before its deadline."""
+    """The wait limit passed, or would pass before the statement is sent."""
 
 
 @attrs.frozen
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/control_commands.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/control_commands.py
@@ -39,8 +39,8 @@
 
     Attributes:
       pool: The server's connection pool.
-      alive: Whether the server responded, if only with a refusal because it
-        was full.
+      alive: Whether the server responded. A refusal because it is full counts
+        as a response.
       is_primary: Whether the server is the primary.
       term: The term of the server's last log entry, or 0 if unknown.
     """
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -204,8 +204,8 @@
     def cut_off(self) -> bool:
         """Return whether another proxy can serve callers better.
 
-        That is so if the store is unreachable and a group whose home this
-        proxy is has no usable primary.
+        This is the case if the store is unreachable and a group of which this
+        proxy is a home has no usable primary.
         """
         return self.store_health.lost and any(
             group.usable_primary() is None
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/execution.py
@@ -1,4 +1,4 @@
-"""A caller's statement and the commands that carry it."""
+"""Callers' statements and the commands that forward them to servers."""
 
 import attrs
 
@@ -52,7 +52,7 @@
     execution: Execution,
     needed: Position | None = None,
 ) -> Command:
-    """Return the command that carries a caller's statement.
+    """Return the command that forwards a caller's statement.
 
     Args:
       connection: The connection, already set up for the session.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -35,8 +35,8 @@
 # Proxies that detect the same failure wait for a random time, so that one of
 # them claims the succession and the others see its claim.
 CLAIM_JITTER_SECONDS = 0.15
-# Delay after a failed attempt, which gives the servers and the lead authority
-# time to recover. It grows with each failure in a row.
+# Delay after a failed attempt, which gives the servers and the promotion
+# service time to recover. It grows with each failure in a row.
 RETRY_SECONDS = 0.5
 MAX_RETRY_SECONDS = 3.0
 # A group without a known primary may have one whose report has not arrived
@@ -338,9 +338,9 @@
             )
             if held_claim.earlier_orders_settled:
                 await self.resume_replication(answers)
-            # Otherwise the replicas stay suspended: an order of an earlier claim
-            # may still take effect, and commits acknowledged from now on
-            # would be lost. The next attempt continues from this state.
+            # Otherwise the replicas stay suspended: an order of an earlier
+            # claim may still take effect, and commits acknowledged from now
+            # on would be lost. The next attempt continues from this state.
             return ReplacementResult.NOTHING_DONE
         self.log.event(
             "successor_chosen",
@@ -367,7 +367,8 @@
         Args:
           claim: The claim on the succession.
           server_id: The server to promote.
-          suspended: The suspended replicas, resumed once the server leads.
+          suspended: The suspended replicas, resumed once the server is
+            primary.
         """
         deadline = self.loop.time() + PROMOTION_TIMEOUT_SECONDS
         unanswered = False
@@ -403,11 +404,11 @@
     async def await_promotion(
         self, server_id: str, suspended: list[StatusResult]
     ) -> "ReplacementResult":
-        """Wait until a promoted server leads, then resume the others.
+        """Wait until a promoted server is primary, then resume the others.
 
         The order takes effect some time after its answer. Until then the old
-        primary leads, and a resumed replica would confirm commits that the
-        new primary lacks.
+        server is still the primary, and a resumed replica would confirm commits
+        that the new primary lacks.
 
         Args:
           server_id: The promoted server.
@@ -432,14 +433,14 @@
         return ReplacementResult.UNANSWERED
 
     async def find_primary(self) -> bool:
-        """Ask all servers whether they lead; return whether one does.
+        """Ask all servers for the primary; return whether one was found.
 
-        Their reports in the store may be outdated or unreachable.
+        The servers' reports in the store may be outdated or unreachable.
         """
         return await self.adopt_primary(list(self.group.pools.values()))
 
     async def adopt_primary(self, pools: list[ConnectionPool]) -> bool:
-        """Record the server that leads as primary; return whether one does.
+        """Record the server that is the primary; return whether one was found.
 
         Args:
           pools: The servers to ask.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_server.py
@@ -178,7 +178,7 @@
         self.answer(number, session, reply)
 
     async def open(self, number: int, fields: Fields) -> None:
-        """Open a transaction numbered like its request."""
+        """Open a transaction under the number of its request."""
         session = decode_session(fields[0])
         if not await self.home.resolve(session):
             self.answer(number, session, unknown_group_reply())
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/homes.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/homes.py
@@ -16,7 +16,7 @@
 
     Attributes:
       rows: Holds the known VMs.
-      cached_members: The members for which the cached rankings hold.
+      cached_members: The members from which `cached_rankings` were computed.
       cached_rankings: The results of `ranked_members` by the group's name.
     """
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/member_rows.py
@@ -23,8 +23,8 @@
 MEMBERS_TABLE = "members"
 # Time in which VMs that start together have written their rows.
 DISCOVERY_SECONDS = 1.5
-# Interval at which a VM renews its row. A row three times as old is stale: its
-# VM is gone.
+# Interval at which a VM renews its row. A row that is older than three
+# intervals is stale, and its VM is no longer a member.
 RENEW_SECONDS = 60.0
 RENEW_JITTER = 0.2
 STALE_SECONDS = 3 * RENEW_SECONDS
@@ -116,8 +116,8 @@
         oldest = image.store_seconds - DISCOVERY_SECONDS
         others = [one for one in self.member_rows if one != self.own.vm]
         if any(self.member_rows[one].written_at < oldest for one in others):
-            # A VM was running before this one, so they do not all start now
-            # and the table is complete.
+            # Another VM was already running, so the VMs are not all starting
+            # now and the table is complete.
             self.complete = True
         self.refresh_members()
         own_row = self.member_rows.get(self.own.vm)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -48,8 +48,8 @@
       timeout_seconds: The timeout of a statement.
       wrote: Whether a write was started.
       running: Whether a statement is in flight.
-      ended: Whether the connection was released or discarded, or is being rolled
-        back.
+      ended: Whether the connection was released or discarded, or waits for the
+        reply to a rollback.
     """
 
     def __init__(
@@ -246,7 +246,7 @@
     def commit_unanswered(self, request_id: str, start: float) -> Reply:
         """Return the reply to a commit that the server did not answer.
 
-        It is in doubt if the transaction wrote.
+        The outcome of the commit is in doubt if the transaction wrote.
         """
         if not self.wrote:
             return self.statement_unanswered(request_id, start)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/pool_maintenance.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/pool_maintenance.py
@@ -43,7 +43,7 @@
                 pool.limit = group.connection_limit()
                 pool.limiter.window.max_size = pool.limit
                 if not group.homes.is_home(group.group):
-                    # They date from when this proxy was a home of the group.
+                    # They were opened while this proxy was a home of the group.
                     pool.close_idle_connections()
                 pool.trim(self.idle_target(group, pool))
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_limiter.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/statement_limiter.py
@@ -21,7 +21,7 @@
 
     GRANTED = "granted"
     WAIT_LIMIT_EXCEEDED = "hopeless"
-    """It was not admitted, or could not be, before its deadline."""
+    """The wait limit passed, or would pass before there is room."""
 
 
 class StatementLimiter:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
@@ -60,7 +60,7 @@
             await succession.close()
 
     async def check(self, _now: float) -> None:
-        """Check the groups whose home this proxy is.
+        """Check the groups of which this proxy is a home.
 
         Args:
           _now: The timer's time in seconds; not used.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/table_follower.py
@@ -60,8 +60,8 @@
     Attributes:
       table: The table's name.
       wait_seconds: The longest wait of one call for changes.
-      discovery_seconds: How long after the start upstream VMs may be found
-        before the store is followed.
+      discovery_seconds: How long after the start this process looks for
+        upstream VMs before it follows the store.
       rows: The table's rows by key.
       revision: The store's revision up to which all changes are known; None
         before the first image.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
@@ -19,7 +19,7 @@
 # A lost upstream VM is replaced within this interval; until then this process
 # follows the store.
 CHECK_SECONDS = 0.5
-# Twice the interval of heartbeats, and half of it for delivery.
+# Two heartbeat intervals, plus half an interval for delivery.
 HEARTBEAT_TIMEOUT_SECONDS = 1.25
 # A VM that sends no heartbeat in this time after a subscription relies on
 # upstream VMs itself and cannot serve as one.
@@ -34,7 +34,7 @@
       members: Holds the known VMs.
       followers: The followers of the store's tables.
       relayed_tables: The tables whose changes upstream VMs now relay.
-      cached_members: The members for which the cached upstream VMs hold.
+      cached_members: The members from which `cached_upstreams` was computed.
       cached_upstreams: The result of `upstreams`.
       subscription: The timer's subscription; None before the start.
     """
