--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/home_router.py
@@ -238,7 +238,7 @@
     async def stream_for(
         self, session: SessionView, deadline: float
     ) -> HomeStream | None:
-        """Return a stream to the best reachable home, or None to run locally."""
+        """Return a stream to the best usable home, or None to run locally."""
         _, group = resolved(session)
         for member in self.homes.forwarding_targets(group.group):
             if member.vm == self.homes.rows.own.vm:
