--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -101,7 +101,7 @@
       store_health: Whether the store can be reached.
       missing_servers: When each server disappeared from the store without
         draining, in seconds on the loop's clock.
-      last_primary_id: The most recent primary, even if it is gone.
+      last_primary_id: The most recent primary; kept while there is none.
       changed: Set and replaced whenever the primary changes.
     """
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/relay_proxy.py
@@ -47,7 +47,7 @@
 SERVERS_WAIT_SHARE = 0.75
 # Shorter than the 20 s of changes that the store keeps on users' sites.
 MEMBERS_WAIT_SECONDS = 15.0
-# VMs that start together have found each other by this time. It is shorter
+# VMs that start together have discovered each other by then. It is shorter
 # than the time in which a started process must know a configuration (3 s or
 # more).
 STARTUP_SETTLE_SECONDS = 2.5
