--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/directory.py
@@ -39,16 +39,16 @@
 
     def __init__(
         self,
-        declaration_format: DeclarationDecoder,
+        declaration_decoder: DeclarationDecoder,
         opener: ConnectionOpener,
-        whereabouts: ProxyLocation,
+        proxy_location: ProxyLocation,
         store_health: StoreHealth,
         homes: Homes,
         log: DecisionLog,
     ) -> None:
-        self.declaration_format = declaration_format
+        self.declaration_decoder = declaration_decoder
         self.opener = opener
-        self.whereabouts = whereabouts
+        self.proxy_location = proxy_location
         self.store_health = store_health
         self.homes = homes
         self.log = log
@@ -99,7 +99,7 @@
         Args:
           row: The stored declarations.
         """
-        declarations = self.declaration_format.read_declarations(row)
+        declarations = self.declaration_decoder.read_declarations(row)
         if declarations is None:
             return
         if not declarations.supersedes(self.declarations):
@@ -145,7 +145,7 @@
         Args:
           row: The stored report.
         """
-        server = self.declaration_format.read_server(row)
+        server = self.declaration_decoder.read_server(row)
         if server is None:
             self.log.event("report_unreadable", key=row.key)
             self.servers.pop(row.key, None)
@@ -186,7 +186,7 @@
                 self.groups[name] = GroupRelay(
                     group,
                     self.opener,
-                    self.whereabouts,
+                    self.proxy_location,
                     self.store_health,
                     self.homes,
                     self.log,
@@ -204,8 +204,8 @@
     def cut_off(self) -> bool:
         """Return whether another proxy can serve callers better.
 
-        That is so if the store is unreachable and a group whose home this
-        proxy is has no usable primary.
+        This is the case if the store is unreachable and a group of which this
+        proxy is a home has no usable primary.
         """
         return self.store_health.lost and any(
             group.usable_primary() is None
@@ -214,7 +214,7 @@
         )
 
     async def close(self) -> None:
-        """Cancel pending removals and retire the lanes of all servers."""
+        """Cancel pending removals and retire the servers' connection pools."""
         for handle in self.removal_timers.values():
             handle.cancel()
         for group in self.groups.values():
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_relay.py
@@ -98,10 +98,10 @@
         that it is not the primary, by server id. Its report counts again from
         the next revision.
       homes: Divides the servers' connections among the homes.
-      contact: Whether the store can be reached.
+      store_health: Whether the store can be reached.
       missing_servers: When each server disappeared from the store without
         draining, in seconds on the loop's clock.
-      last_primary_id: The most recent primary, even if it is gone.
+      last_primary_id: The most recent primary; kept while there is none.
       changed: Set and replaced whenever the primary changes.
     """
 
@@ -110,12 +110,12 @@
         group: ServedGroup,
         opener: ConnectionOpener,
         proxy_location: ProxyLocation,
-        contact: StoreHealth,
+        store_health: StoreHealth,
         homes: Homes,
         log: DecisionLog,
     ) -> None:
         self.homes = homes
-        self.contact = contact
+        self.store_health = store_health
         self.group = group
         self.name = group.name
         self.opener = opener
@@ -170,7 +170,7 @@
                 self.connection_limit(),
                 SLOT_WINDOW * server.slots / self.homes.plan(self.group).homes,
                 self.log,
-                functools.partial(self.idle_link_lost, server.server_id),
+                functools.partial(self.idle_connection_lost, server.server_id),
             )
             self.pools[server.server_id] = pool
             self.log.event(
@@ -306,7 +306,7 @@
             if pool is not None:
                 return pool
             now = self.loop.time()
-            if self.contact.lost or now >= deadline:
+            if self.store_health.lost or now >= deadline:
                 return None
             changed = self.changed
             try:
@@ -329,7 +329,7 @@
             else None
         )
 
-    def note_lost(
+    def record_unanswered(
         self,
         pool: ConnectionPool,
         silent: bool,
@@ -353,7 +353,7 @@
         else:
             self.suspicion.request_timed_out(sent_at)
 
-    def idle_link_lost(self, server_id: str) -> None:
+    def idle_connection_lost(self, server_id: str) -> None:
         """Record that a server closed an idle connection.
 
         Args:
@@ -361,9 +361,9 @@
         """
         pool = self.pools.get(server_id)
         if pool is not None:
-            self.note_lost(pool, silent=False, sent_at=self.loop.time())
+            self.record_unanswered(pool, silent=False, sent_at=self.loop.time())
 
-    def note_unreachable(
+    def record_unreachable(
         self, pool: ConnectionPool, failure: OpenFailure
     ) -> None:
         """Record that no connection could be opened.
@@ -441,7 +441,7 @@
     def refresh_watermark(self) -> None:
         """Start to fetch a watermark unless a fetch is in progress."""
         pool = self.usable_primary()
-        if pool is None or self.refreshing or not pool.has_spare_link():
+        if pool is None or self.refreshing or not pool.has_spare_connection():
             return
         self.refreshing = self.loop.create_task(self.fetch_watermark(pool))
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/group_succession.py
@@ -35,8 +35,8 @@
 # Proxies that detect the same failure wait for a random time, so that one of
 # them claims the succession and the others see its claim.
 CLAIM_JITTER_SECONDS = 0.15
-# Delay after a failed attempt, which gives the servers and the lead authority
-# time to recover. It grows with each failure in a row.
+# Delay after a failed attempt, which gives the servers and the promotion
+# service time to recover. It grows with each failure in a row.
 RETRY_SECONDS = 0.5
 MAX_RETRY_SECONDS = 3.0
 # A group without a known primary may have one whose report has not arrived
@@ -61,7 +61,7 @@
 # Reasons to switch over from a healthy primary.
 PLANNED = frozenset({LEAVING, REPLICAS_LAG})
 
-Work = Coroutine[Any, Any, None]
+TaskCoroutine = Coroutine[Any, Any, None]
 
 
 class ReplacementResult(enum.Enum):
@@ -94,16 +94,16 @@
         vm: str,
         process: str,
         claims: ClaimRows,
-        authority: PromotionService,
+        promotion_service: PromotionService,
         log: DecisionLog,
         rng: random.Random,
     ) -> None:
         self.group = group
-        self.questions = group.control
+        self.control = group.control
         self.vm = vm
         self.process = process
         self.claims = claims
-        self.authority = authority
+        self.promotion_service = promotion_service
         self.log = log
         self.rng = rng
         self.running = False
@@ -126,17 +126,17 @@
         elif self.group.suspicion.has_evidence():
             self.start_task(self.probe_primary())
 
-    def start_task(self, work: Work) -> None:
+    def start_task(self, coroutine: TaskCoroutine) -> None:
         """Run a coroutine as a task; checks do nothing until it ends."""
         self.running = True
-        task = self.loop.create_task(self.run_task(work))
+        task = self.loop.create_task(self.run_task(coroutine))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def run_task(self, work: Work) -> None:
+    async def run_task(self, coroutine: TaskCoroutine) -> None:
         """Await a coroutine and clear `running`, also if it raises."""
         try:
-            await work
+            await coroutine
         finally:
             self.running = False
 
@@ -149,8 +149,8 @@
     def reason(self) -> str | None:
         """Return why the primary must be replaced, or None if it need not."""
         now = self.loop.time()
-        lane = self.group.primary_pool()
-        if lane is None:
+        pool = self.group.primary_pool()
+        if pool is None:
             if not self.group.pools:
                 return None
             if self.primary_missing_since is None:
@@ -158,13 +158,13 @@
             missing = now - self.primary_missing_since
             return MISSING if missing >= MISSING_PRIMARY_SECONDS else None
         self.primary_missing_since = None
-        if lane.server.leaving:
+        if pool.server.leaving:
             return LEAVING
         suspicion = self.group.suspicion.suspected_failure(now)
         if suspicion is not FailureKind.NONE:
             return str(suspicion.value)
         if self.group.switchover_trigger.lag_check_due(
-            now, lane.queue_nonempty_seconds()
+            now, pool.queue_nonempty_seconds()
         ):
             return REPLICAS_LAG
         return None
@@ -176,11 +176,11 @@
 
     async def probe_primary(self) -> None:
         """Probe a suspected primary."""
-        lane = self.group.primary_pool()
-        if lane is None:
+        pool = self.group.primary_pool()
+        if pool is None:
             return
         start = self.loop.time()
-        await self.questions.check_primary(lane)
+        await self.control.check_primary(pool)
         self.not_before = start + 2 * POLL_SECONDS
 
     async def replace(self, reason: str) -> None:
@@ -209,7 +209,7 @@
         if (
             lost
             and old_primary is not None
-            and (await self.questions.check_primary(old_primary)).alive
+            and (await self.control.check_primary(old_primary)).alive
         ):
             return
         held_claim = await self.claims.claim(
@@ -261,13 +261,11 @@
         primary = self.group.primary_pool()
         if primary is None:
             return []
-        primary_reply = await self.questions.send_command(
-            primary, QueryStatus()
-        )
+        primary_reply = await self.control.send_command(primary, QueryStatus())
         if primary_reply.status is None:
             return []
         replicas = self.replicas(primary)
-        answers = await self.questions.send_to_all(replicas, QueryStatus())
+        answers = await self.control.send_to_all(replicas, QueryStatus())
         return [
             one.status
             for one in answers
@@ -294,7 +292,7 @@
     async def fail_over(
         self, held_claim: HeldClaim, old_primary: ConnectionPool | None
     ) -> "ReplacementResult":
-        """Freeze the replicas and promote the most advanced one.
+        """Suspend the replicas and promote the most advanced one.
 
         Args:
           held_claim: The claim on the succession.
@@ -304,12 +302,12 @@
         replicas = self.replicas(old_primary)
         if await self.adopt_primary(replicas):
             return ReplacementResult.NOTHING_DONE
-        answers = await self.questions.send_to_all(replicas, QueryStatus())
+        answers = await self.control.send_to_all(replicas, QueryStatus())
         term = max(
             [self.next_term()]
             + [one.status.term + 1 for one in answers if one.status]
         )
-        answers = await self.questions.send_to_all(
+        answers = await self.control.send_to_all(
             replicas, SuspendReplication(term)
         )
         choice = choose_successor(
@@ -339,10 +337,10 @@
                 token=claim.token,
             )
             if held_claim.earlier_orders_settled:
-                await self.thaw(answers)
-            # Otherwise the replicas stay frozen: an order of an earlier claim
-            # may still take effect, and commits acknowledged from now on
-            # would be lost. The next attempt continues from this state.
+                await self.resume_replication(answers)
+            # Otherwise the replicas stay suspended: an order of an earlier
+            # claim may still take effect, and commits acknowledged from now
+            # on would be lost. The next attempt continues from this state.
             return ReplacementResult.NOTHING_DONE
         self.log.event(
             "successor_chosen",
@@ -354,27 +352,28 @@
         )
         return await self.promote_server(claim, choice.server_id, answers)
 
-    async def thaw(self, frozen: list[StatusResult]) -> None:
-        """Let frozen replicas receive entries again."""
-        await self.questions.send_to_all(
-            [one.pool for one in frozen if one.status is not None],
+    async def resume_replication(self, suspended: list[StatusResult]) -> None:
+        """Let suspended replicas receive entries again."""
+        await self.control.send_to_all(
+            [one.pool for one in suspended if one.status is not None],
             ResumeReplication(),
         )
 
     async def promote_server(
-        self, claim: Claim, server_id: str, frozen: list[StatusResult]
+        self, claim: Claim, server_id: str, suspended: list[StatusResult]
     ) -> "ReplacementResult":
         """Order the promotion of a server, repeatedly until it is answered.
 
         Args:
           claim: The claim on the succession.
           server_id: The server to promote.
-          frozen: The frozen replicas, thawed once the server leads.
+          suspended: The suspended replicas, resumed once the server is
+            primary.
         """
         deadline = self.loop.time() + PROMOTION_TIMEOUT_SECONDS
         unanswered = False
         while True:
-            answer = await self.authority.promote(
+            answer = await self.promotion_service.promote(
                 self.group.name, server_id, self.vm, claim.token
             )
             self.log.event(
@@ -385,7 +384,7 @@
                 answer=answer.value,
             )
             if answer is PromotionResult.DONE:
-                return await self.await_promotion(server_id, frozen)
+                return await self.await_promotion(server_id, suspended)
             unanswered = unanswered or answer is PromotionResult.UNANSWERED
             if answer is PromotionResult.REFUSED:
                 # Another process holds the claim, or the server is down.
@@ -403,27 +402,29 @@
             await asyncio.sleep(2 * POLL_SECONDS)
 
     async def await_promotion(
-        self, server_id: str, frozen: list[StatusResult]
+        self, server_id: str, suspended: list[StatusResult]
     ) -> "ReplacementResult":
-        """Wait until a promoted server leads, then thaw the others.
+        """Wait until a promoted server is primary, then resume the others.
 
         The order takes effect some time after its answer. Until then the old
-        primary leads, and a thawed replica would confirm commits that the
-        new primary lacks.
+        server is still the primary, and a resumed replica would confirm commits
+        that the new primary lacks.
 
         Args:
           server_id: The promoted server.
-          frozen: The frozen replicas.
+          suspended: The suspended replicas.
         """
         deadline = self.loop.time() + PROMOTION_EFFECT_SECONDS
-        lane = self.group.pools.get(server_id)
-        while lane is not None and self.loop.time() < deadline:
-            if (await self.questions.check_primary(lane)).is_primary:
+        pool = self.group.pools.get(server_id)
+        while pool is not None and self.loop.time() < deadline:
+            if (await self.control.check_primary(pool)).is_primary:
                 self.group.promoted(server_id)
-                await self.thaw([one for one in frozen if one.pool is not lane])
+                await self.resume_replication(
+                    [one for one in suspended if one.pool is not pool]
+                )
                 return ReplacementResult.DONE
             await asyncio.sleep(POLL_SECONDS)
-            lane = self.group.pools.get(server_id)
+            pool = self.group.pools.get(server_id)
         self.log.event(
             "promotion_without_effect",
             group=self.group.name,
@@ -432,19 +433,19 @@
         return ReplacementResult.UNANSWERED
 
     async def find_primary(self) -> bool:
-        """Ask all servers whether they lead; return whether one does.
+        """Ask all servers for the primary; return whether one was found.
 
-        Their reports in the store may be outdated or unreachable.
+        The servers' reports in the store may be outdated or unreachable.
         """
         return await self.adopt_primary(list(self.group.pools.values()))
 
     async def adopt_primary(self, pools: list[ConnectionPool]) -> bool:
-        """Record the server that leads as primary; return whether one does.
+        """Record the server that is the primary; return whether one was found.
 
         Args:
           pools: The servers to ask.
         """
-        answers = await self.questions.check_primaries(pools)
+        answers = await self.control.check_primaries(pools)
         leading = [
             (one.term, one.pool.server.server_id)
             for one in answers
@@ -466,7 +467,7 @@
           held_claim: The claim on the succession.
           old_primary: The primary.
         """
-        primary_reply = await self.questions.check_primary(old_primary)
+        primary_reply = await self.control.check_primary(old_primary)
         if primary_reply.alive and not primary_reply.is_primary:
             # Another process has replaced it in the meantime.
             await self.find_primary()
@@ -474,7 +475,7 @@
         staying_replicas = [
             one for one in self.replicas(old_primary) if not one.server.leaving
         ]
-        answers = await self.questions.send_to_all(
+        answers = await self.control.send_to_all(
             staying_replicas, QueryStatus()
         )
         if not any(one.status for one in answers):
@@ -482,7 +483,7 @@
             return ReplacementResult.NOTHING_DONE
         terms = [one.status.term + 1 for one in answers if one.status]
         term = max([self.next_term(), *terms])
-        step_down_reply = await self.questions.send_command(
+        step_down_reply = await self.control.send_command(
             old_primary, Demote(term)
         )
         if step_down_reply.status is None:
@@ -506,7 +507,7 @@
         """Return the nearest replica that received a position, or None."""
         deadline = self.loop.time() + CATCH_UP_TIMEOUT_SECONDS
         while self.loop.time() < deadline:
-            answers = await self.questions.send_to_all(pools, QueryStatus())
+            answers = await self.control.send_to_all(pools, QueryStatus())
             candidates = [
                 one.pool
                 for one in answers
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/open_transaction.py
@@ -41,28 +41,28 @@
 
     Attributes:
       group: The database group.
-      lane: The connection pool that the link belongs to.
-      link: The connection.
+      pool: The connection pool that the connection belongs to.
+      connection: The connection.
       on_primary: Whether the server must be the primary for a statement to
         succeed.
       timeout_seconds: The timeout of a statement.
       wrote: Whether a write was started.
       running: Whether a statement is in flight.
-      ended: Whether the link was released or discarded, or is being rolled
-        back.
+      ended: Whether the connection was released or discarded, or waits for the
+        reply to a rollback.
     """
 
     def __init__(
         self,
         group: "GroupRelay",
-        lane: ConnectionPool,
-        link: ServerConnection,
+        pool: ConnectionPool,
+        connection: ServerConnection,
         on_primary: bool,
         timeout_seconds: float,
     ) -> None:
         self.group = group
-        self.lane = lane
-        self.link = link
+        self.pool = pool
+        self.connection = connection
         self.on_primary = on_primary
         self.timeout_seconds = timeout_seconds
         self.wrote = False
@@ -82,8 +82,8 @@
         self.wrote = self.wrote or execution.writes
         sent_at = boot_seconds()
         start = self.loop.time()
-        commands = setup_commands(self.link, session.context, execution)
-        commands.append(forward_command(self.link, execution))
+        commands = setup_commands(self.connection, session.context, execution)
+        commands.append(forward_command(self.connection, execution))
         reply = await self.send(commands, start + self.timeout_seconds)
         if isinstance(reply, NotSent):
             return self.not_admitted(execution.request_id, start)
@@ -95,7 +95,7 @@
                 "transaction_statement",
                 request=execution.request_id,
                 group=self.group.name,
-                server=self.lane.server.server_id,
+                server=self.pool.server.server_id,
                 outcome=reply.problem.value,
                 ms=round((self.loop.time() - start) * 1000),
             )
@@ -127,7 +127,7 @@
                 or self.loop.time() + pause >= deadline
             ):
                 return reply
-            self.lane.limiter.refused()
+            self.pool.limiter.refused()
             await asyncio.sleep(pause)
             refusals += 1
             commands = commands[-1:]
@@ -136,7 +136,7 @@
         self, commands: list[Command], deadline: float
     ) -> Reply | NotSent | None:
         """Send commands once they are admitted; return the last reply."""
-        if not await self.lane.begin_statement(self.link, deadline):
+        if not await self.pool.begin_statement(self.connection, deadline):
             return NotSent()
         if self.ended:
             # The transaction was rolled back while the statement waited.
@@ -144,18 +144,18 @@
             return NotSent()
         self.running = True
         try:
-            future = self.link.send(commands)[-1]
+            future = self.connection.send(commands)[-1]
             return await await_result(future, deadline)
         finally:
             self.running = False
-            self.lane.end_statement(self.link)
+            self.pool.end_statement(self.connection)
 
     def record_reply(self, sent_at: float, start: float, reply: Reply) -> None:
         """Update the state of the server and the group from a reply."""
-        condition = self.lane.condition
+        condition = self.pool.condition
         condition.position_seen(reply.position)
         if reply.problem is Problem.NOT_PRIMARY:
-            self.group.mark_not_primary(self.lane)
+            self.group.mark_not_primary(self.pool)
         elif reply.problem is None:
             condition.answered(self.loop.time() - start, self.loop.time())
             if self.on_primary:
@@ -172,7 +172,7 @@
             "transaction_statement",
             request=request_id,
             group=self.group.name,
-            server=self.lane.server.server_id,
+            server=self.pool.server.server_id,
             outcome=Problem.ROLLED_BACK.value,
             ms=round((self.loop.time() - start) * 1000),
         )
@@ -209,11 +209,11 @@
             return self.not_admitted(request_id, start)
         if reply is None:
             return self.commit_unanswered(request_id, start)
-        if self.link.state is SessionState.IDLE:
+        if self.connection.state is SessionState.IDLE:
             self.release()
         else:
             self.roll_back()
-        self.lane.condition.position_seen(reply.position)
+        self.pool.condition.position_seen(reply.position)
         self.log_commit(session.database, request_id, start, reply)
         if reply.problem is None and self.wrote:
             session.record_position(reply.position)
@@ -221,7 +221,7 @@
             if reply.position:
                 self.group.watermarks.add(sent_at, reply.position)
         elif reply.problem is Problem.NOT_PRIMARY:
-            self.group.mark_not_primary(self.lane)
+            self.group.mark_not_primary(self.pool)
         return reply
 
     def log_commit(
@@ -237,7 +237,7 @@
             "transaction_ended",
             request=request_id,
             group=self.group.name,
-            server=self.lane.server.server_id,
+            server=self.pool.server.server_id,
             outcome=outcome,
             position=str(reply.position),
             ms=round(seconds * 1000),
@@ -246,7 +246,7 @@
     def commit_unanswered(self, request_id: str, start: float) -> Reply:
         """Return the reply to a commit that the server did not answer.
 
-        It is in doubt if the transaction wrote.
+        The outcome of the commit is in doubt if the transaction wrote.
         """
         if not self.wrote:
             return self.statement_unanswered(request_id, start)
@@ -265,13 +265,13 @@
         wrote: bool = False,
     ) -> None:
         """Report an unanswered command to the group and log it."""
-        silent = not self.link.closed
-        self.group.note_lost(self.lane, silent, start, wrote)
+        silent = not self.connection.closed
+        self.group.record_unanswered(self.pool, silent, start, wrote)
         self.group.log.event(
             event,
             request=request_id,
             group=self.group.name,
-            server=self.lane.server.server_id,
+            server=self.pool.server.server_id,
             silent=silent,
             waited=round(self.loop.time() - start, 3),
         )
@@ -283,29 +283,33 @@
         """
         if self.ended:
             return
-        if self.link.closed or self.running:
+        if self.connection.closed or self.running:
             self.drop()
             return
         self.ended = True
         release_after(
-            self.lane, self.link, self.link.send([RollbackTransaction()])[0]
+            self.pool,
+            self.connection,
+            self.connection.send([RollbackTransaction()])[0],
         )
 
     def release(self) -> None:
         """Return the connection to the pool."""
         if not self.ended:
             self.ended = True
-            self.lane.release(self.link)
+            self.pool.release(self.connection)
 
     def drop(self) -> None:
         """Close the connection; the server rolls back the transaction."""
         if not self.ended:
             self.ended = True
-            self.lane.discard(self.link)
+            self.pool.discard(self.connection)
 
 
 def release_after(
-    lane: ConnectionPool, link: ServerConnection, future: asyncio.Future[Reply]
+    pool: ConnectionPool,
+    connection: ServerConnection,
+    future: asyncio.Future[Reply],
 ) -> None:
     """Return a connection to its pool after its last command is answered.
 
@@ -313,19 +317,19 @@
     `ROLLBACK_TIMEOUT_SECONDS`.
 
     Args:
-      lane: The connection pool that the link belongs to.
-      link: The connection.
+      pool: The connection pool that the connection belongs to.
+      connection: The connection.
       future: The reply to the last command.
     """
     loop = asyncio.get_running_loop()
-    timeout = loop.call_later(ROLLBACK_TIMEOUT_SECONDS, link.close)
+    timeout = loop.call_later(ROLLBACK_TIMEOUT_SECONDS, connection.close)
 
     def finish(done: asyncio.Future[Reply]) -> None:
         timeout.cancel()
         failed = done.cancelled() or done.exception() is not None
         if failed:
-            lane.discard(link)
+            pool.discard(connection)
         else:
-            lane.release(link)
+            pool.release(connection)
 
     future.add_done_callback(finish)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/pool_maintenance.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/pool_maintenance.py
@@ -43,8 +43,8 @@
                 pool.limit = group.connection_limit()
                 pool.limiter.window.max_size = pool.limit
                 if not group.homes.is_home(group.group):
-                    # They date from when this proxy was a home of the group.
-                    pool.close_idle_links()
+                    # They were opened while this proxy was a home of the group.
+                    pool.close_idle_connections()
                 pool.trim(self.idle_target(group, pool))
 
     def idle_target(self, group: GroupRelay, pool: ConnectionPool) -> int:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/succession_service.py
@@ -28,7 +28,7 @@
         vm: str,
         process: str,
         claims: ClaimRows,
-        authority: PromotionService,
+        promotion_service: PromotionService,
         log: DecisionLog,
         rng: random.Random,
     ) -> None:
@@ -36,7 +36,7 @@
         self.vm = vm
         self.process = process
         self.claims = claims
-        self.authority = authority
+        self.promotion_service = promotion_service
         self.log = log
         self.rng = rng
         self.successions: dict[str, GroupSuccession] = {}
@@ -60,7 +60,7 @@
             await succession.close()
 
     async def check(self, _now: float) -> None:
-        """Check the groups whose home this proxy is.
+        """Check the groups of which this proxy is a home.
 
         Args:
           _now: The timer's time in seconds; not used.
@@ -75,7 +75,7 @@
                     self.vm,
                     self.process,
                     self.claims,
-                    self.authority,
+                    self.promotion_service,
                     self.log,
                     self.rng,
                 )
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/relay/upstream_selector.py
@@ -19,7 +19,7 @@
 # A lost upstream VM is replaced within this interval; until then this process
 # follows the store.
 CHECK_SECONDS = 0.5
-# Twice the interval of heartbeats, and half of it for delivery.
+# Two heartbeat intervals, plus half an interval for delivery.
 HEARTBEAT_TIMEOUT_SECONDS = 1.25
 # A VM that sends no heartbeat in this time after a subscription relies on
 # upstream VMs itself and cannot serve as one.
@@ -34,7 +34,7 @@
       members: Holds the known VMs.
       followers: The followers of the store's tables.
       relayed_tables: The tables whose changes upstream VMs now relay.
-      cached_members: The members for which the cached upstream VMs hold.
+      cached_members: The members from which `cached_upstreams` was computed.
       cached_upstreams: The result of `upstreams`.
       subscription: The timer's subscription; None before the start.
     """
@@ -95,7 +95,7 @@
         live_streams = [
             one
             for one in self.streams()
-            if one.has_confirmed(table, HEARTBEAT_TIMEOUT_SECONDS)
+            if one.has_recent_heartbeat(table, HEARTBEAT_TIMEOUT_SECONDS)
         ]
         return len(live_streams) >= MIN_UPSTREAMS
 
@@ -123,7 +123,7 @@
         if now - stream.subscribed_at < SUBSCRIBE_TIMEOUT_SECONDS:
             return True
         return all(
-            stream.has_confirmed(one, HEARTBEAT_TIMEOUT_SECONDS)
+            stream.has_recent_heartbeat(one, HEARTBEAT_TIMEOUT_SECONDS)
             for one in tables
         )
 
--- a/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
+++ b/packages/jackdawcrank-proxy/tests/relay/test_open_transaction.py
@@ -14,17 +14,17 @@
 from jackdawcrank.seams.replies import Problem, Reply, SessionState
 from jackdawcrank_policy.sessions import SessionContext
 
-from .conftest import FakeLink, FakeOpener, run_ready_tasks
+from .conftest import FakeConnection, FakeOpener, run_ready_tasks
 
 
 @attrs.define
 class FakeGroup:
     log: DecisionLog
     name: str = "plots"
-    lost: int = 0
+    unanswered: int = 0
 
-    def note_lost(self, *_: object) -> None:
-        self.lost += 1
+    def record_unanswered(self, *_: object) -> None:
+        self.unanswered += 1
 
 
 @attrs.define
@@ -45,13 +45,13 @@
 async def transaction(
     pool: ConnectionPool, opener: FakeOpener, group: FakeGroup
 ) -> OpenTransaction:
-    link = FakeLink(state=SessionState.IN_TRANSACTION)
+    connection = FakeConnection(state=SessionState.IN_TRANSACTION)
     pool.count = 1
-    pool.check_out(link)
+    pool.check_out(connection)
     # The server is at its limit, so a statement has to wait.
     pool.limiter.in_flight_count = 2
     return OpenTransaction(
-        typing.cast(GroupRelay, group), pool, link, True, 0.05
+        typing.cast(GroupRelay, group), pool, connection, True, 0.05
     )
 
 
@@ -62,7 +62,7 @@
     assert reply.problem is Problem.ROLLED_BACK
     assert is_rolled_back(transaction)
     # A full server must not be reported as unresponsive.
-    assert group.lost == 0
+    assert group.unanswered == 0
 
 
 async def test_commit_that_was_not_sent_is_not_in_doubt(
@@ -72,7 +72,7 @@
     reply = await transaction.commit(SESSION, "r2")
     assert reply.problem is Problem.ROLLED_BACK
     assert is_rolled_back(transaction)
-    assert group.lost == 0
+    assert group.unanswered == 0
 
 
 async def test_commit_that_was_sent_and_not_answered_is_in_doubt(
@@ -82,22 +82,24 @@
     pool.limiter.in_flight_count = 0
     reply = await transaction.commit(SESSION, "r2")
     assert reply.problem is Problem.IN_DOUBT
-    assert transaction.link.closed
-    assert group.lost == 1
+    assert transaction.connection.closed
+    assert group.unanswered == 1
 
 
 async def test_connection_is_released_after_the_rollback_reply(
     transaction: OpenTransaction, pool: ConnectionPool
 ) -> None:
     await transaction.run(SESSION, Execution("r1", True, "WRITE a b"))
-    link = typing.cast(FakeLink, transaction.link)
-    link.state = SessionState.IDLE
-    link.sent[-1][1].set_result(Reply())
+    connection = typing.cast(FakeConnection, transaction.connection)
+    connection.state = SessionState.IDLE
+    connection.sent[-1][1].set_result(Reply())
     await run_ready_tasks()
-    assert [one.link for one in pool.idle] == [link]
+    assert [one.connection for one in pool.idle] == [connection]
     await asyncio.sleep(0)
 
 
 def is_rolled_back(transaction: OpenTransaction) -> bool:
-    link = typing.cast(FakeLink, transaction.link)
-    return [command for command, _ in link.sent] == [RollbackTransaction()]
+    connection = typing.cast(FakeConnection, transaction.connection)
+    return [command for command, _ in connection.sent] == [
+        RollbackTransaction()
+    ]
