--- a/bench/slopes_parts/capacity.py
+++ b/bench/slopes_parts/capacity.py
@@ -5,7 +5,7 @@
 from jackdawcrank.config.follower import HEAD_READ_SECONDS
 from jackdawcrank.membership import intervals
 from jackdawcrank.metrics import FLUSH_INTERVAL_SECONDS
-from jackdawcrank.process.proxy import PEERS_TOLD_OF_VERSION
+from jackdawcrank.process.proxy import VERSION_GOSSIP_FANOUT
 from report import Check
 from slopes_parts.fit import Slope
 
@@ -213,7 +213,7 @@
     """
     unit = "open stream, per notice to all"
     # Each VM sends as many notices as it gets.
-    size = 2 * PEERS_TOLD_OF_VERSION * CHANGE_RATE
+    size = 2 * VERSION_GOSSIP_FANOUT * CHANGE_RATE
     for resource, quantity in (
         (CPU, "notice, processor time, s"),
         (TRAFFIC, "notice, traffic, bytes"),
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/main.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/main.py
@@ -9,7 +9,7 @@
 from jackdawcrank.logs import configure_logging
 from jackdawcrank_wire.settings import SettingsErrors, load_settings
 
-EXIT_WRONG_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -33,7 +33,7 @@
     settings = load_settings(settings_path)
     if isinstance(settings, SettingsErrors):
         click.echo(str(settings), err=True)
-        sys.exit(EXIT_WRONG_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     configure_logging(settings.log_format, settings.log_verbosity)
     sys.exit(asyncio.run(run_proxy(settings)))
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/caller_classes.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/caller_classes.py
@@ -38,7 +38,7 @@
             user: spec.name for spec in specs.values() for user in spec.users
         }
         self.limits = {
-            name: self._limits(name, spec) for name, spec in specs.items()
+            name: self._limits_for(name, spec) for name, spec in specs.items()
         }
 
     def name_of(self, user: str) -> str:
@@ -60,8 +60,8 @@
             refusal = limits.admit(user, self.clock())
             if refusal is not None:
                 return refusal
-        waiting = self.admitted.setdefault(user, collections.deque())
-        waiting.append(limits)
+        admitted_limits = self.admitted.setdefault(user, collections.deque())
+        admitted_limits.append(limits)
         return None
 
     def finish(self, user: str) -> None:
@@ -70,16 +70,16 @@
         Args:
           user: The caller's user name.
         """
-        waiting = self.admitted[user]
-        limits = waiting.popleft()
+        admitted_limits = self.admitted[user]
+        limits = admitted_limits.popleft()
         if limits is not None:
             limits.finish(user)
-        if not waiting:
+        if not admitted_limits:
             del self.admitted[user]
 
-    def _limits(self, name: str, spec: CallerClassSpec) -> CallerLimits:
-        known = self.limits.get(name)
-        if known is None:
+    def _limits_for(self, name: str, spec: CallerClassSpec) -> CallerLimits:
+        existing_limits = self.limits.get(name)
+        if existing_limits is None:
             return CallerLimits(spec)
-        known.spec = spec
-        return known
+        existing_limits.spec = spec
+        return existing_limits
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
@@ -39,7 +39,7 @@
 NO_HOME_RETRY_MS = 300
 DEFAULT_TIMEOUT_MS = 30_000
 # Refusals that another home may not give.
-PASSING_REASONS = frozenset(
+RETRYABLE_REASONS = frozenset(
     {
         NotRunReason.SHUTTING_DOWN.value,
         NotRunReason.PEER_UNREACHABLE.value,
@@ -48,7 +48,7 @@
     }
 )
 # Statements that find nothing to do where a transaction is not known.
-ENDINGS = frozenset({StatementKind.ROLLBACK, StatementKind.END_SESSION})
+ROLLBACK_KINDS = frozenset({StatementKind.ROLLBACK, StatementKind.END_SESSION})
 
 
 class EntryRouter:
@@ -90,10 +90,10 @@
         """
         started = self.clock()
         if request.transaction_id:
-            result = await self._in_transaction(request)
+            result = await self._execute_in_transaction(request)
         else:
-            result = await self._outside(request)
-        self._measure(request, result, started)
+            result = await self._execute_outside_transaction(request)
+        self._record_metrics(request, result, started)
         return result
 
     def is_configured(self) -> bool:
@@ -177,56 +177,58 @@
             return _no_home("this proxy is no home of the group")
         return await home.group.execute(request)
 
-    async def _outside(self, request: StatementRequest) -> StatementResult:
+    async def _execute_outside_transaction(
+        self, request: StatementRequest
+    ) -> StatementResult:
         """Run a statement that no transaction ties to a home."""
         deadline = self.clock() + request.deadline_ms / 1000
         self.retries.record_attempt()
         result: StatementResult | None = None
-        for number, home in enumerate(self._homes(request)):
-            if number and not self.retries.try_withdraw():
+        for attempt_number, home in enumerate(self._candidate_homes(request)):
+            if attempt_number and not self.retries.try_withdraw():
                 break
             attempt = request
-            if number:
+            if attempt_number:
                 remaining_ms = int((deadline - self.clock()) * 1000)
                 if remaining_ms <= 0:
                     break
                 attempt = attrs.evolve(request, deadline_ms=remaining_ms)
-            result = await self._at(home, attempt)
-            if not _may_try_another(result, request):
+            result = await self._execute_at_home(home, attempt)
+            if not _may_retry_elsewhere(result, request):
                 return result
         return result or _no_home("no home proxy is known")
 
-    async def _in_transaction(
+    async def _execute_in_transaction(
         self, request: StatementRequest
     ) -> StatementResult:
         home = self.pinned.get(request.transaction_id)
-        if home is None and request.kind in ENDINGS:
+        if home is None and request.kind in ROLLBACK_KINDS:
             return rolled_back_error("it is not open")
         if home is None:
-            homes = self._homes(request)
+            homes = self._candidate_homes(request)
             if not homes:
                 return _no_home("no home proxy is known")
             home = homes[0]
         self.pinned[request.transaction_id] = home
-        result = await self._at(home, request)
+        result = await self._execute_at_home(home, request)
         if not result_keeps_transaction(result):
             self.pinned.pop(request.transaction_id, None)
         return result
 
-    def _homes(self, request: StatementRequest) -> list[str]:
+    def _candidate_homes(self, request: StatementRequest) -> list[str]:
         """Return the group's home proxies in the order to try them."""
         row = self.registry.configuration.group_rows.get(request.group)
         if row is None:
             return []
         is_home = self.vm in row.writers and self.registry.active(row.group)
-        others = [v for v in writer_names(row.writers) if v != self.vm]
-        if others:
-            start = zlib.crc32(request.session_id.encode()) % len(others)
-            others = others[start:] + others[:start]
-        order = [self.vm, *others] if is_home else others
-        return order[:MAX_HOMES_TRIED]
-
-    async def _at(
+        other_homes = [v for v in writer_names(row.writers) if v != self.vm]
+        if other_homes:
+            start = zlib.crc32(request.session_id.encode()) % len(other_homes)
+            other_homes = other_homes[start:] + other_homes[:start]
+        candidates = [self.vm, *other_homes] if is_home else other_homes
+        return candidates[:MAX_HOMES_TRIED]
+
+    async def _execute_at_home(
         self, home: str, request: StatementRequest
     ) -> StatementResult:
         if home == self.vm:
@@ -242,7 +244,7 @@
             return _unreachable(answer, request)
         return result_error(Unknown("the home proxy gave no usable answer"))
 
-    def _measure(
+    def _record_metrics(
         self,
         request: StatementRequest,
         result: StatementResult,
@@ -270,13 +272,13 @@
     return bool(result.in_transaction)
 
 
-def _may_try_another(
+def _may_retry_elsewhere(
     result: StatementResult, request: StatementRequest
 ) -> bool:
     if not isinstance(result, ResultError):
         return False
     if result.outcome is StatementOutcome.NOT_RUN:
-        return result.reason in PASSING_REASONS
+        return result.reason in RETRYABLE_REASONS
     is_read = request.kind is StatementKind.READ
     in_doubt = result.outcome is StatementOutcome.UNKNOWN
     # A request id makes a second try find the first one's result.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/group_peers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/group_peers.py
@@ -53,7 +53,7 @@
         answer = await self.peer_pool.request(vm, request, timeout_seconds)
         if not isinstance(answer, EvidenceAnswer):
             return None
-        return evidence_from(vm, answer)
+        return evidence_from_answer(vm, answer)
 
     async def announce_row(
         self, vm: str, row: GroupRow, version: int, timeout_seconds: float
@@ -71,7 +71,9 @@
         )
 
 
-def evidence_from(vm: str, answer: EvidenceAnswer) -> PrimaryEvidence | None:
+def evidence_from_answer(
+    vm: str, answer: EvidenceAnswer
+) -> PrimaryEvidence | None:
     """Return the evidence in a peer's answer; None if it has none.
 
     Args:
@@ -93,7 +95,7 @@
     )
 
 
-def answer_from(evidence: PrimaryEvidence) -> EvidenceAnswer:
+def answer_from_evidence(evidence: PrimaryEvidence) -> EvidenceAnswer:
     """Return evidence as an answer to a peer.
 
     Args:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
@@ -23,7 +23,7 @@
 )
 from jackdawcrank_wire.events import EventKind
 
-MAX_RETIRE_SECONDS = 60.0
+RETIRE_TIMEOUT_SECONDS = 60.0
 
 
 class HomeRegistry:
@@ -65,7 +65,7 @@
         self.configuration = Configuration()
         self.view = MembershipView()
         self.leases = LeaseTable(vm)
-        self.first_rows: dict[str, GroupRow] | None = None
+        self.initial_rows: dict[str, GroupRow] | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.changed = Signal()
 
@@ -99,11 +99,11 @@
           configuration: The configuration in force.
           changes: What changed; empty if everything may have.
         """
-        if self.first_rows is None:
-            self.first_rows = dict(configuration.group_rows)
+        if self.initial_rows is None:
+            self.initial_rows = dict(configuration.group_rows)
         earlier = self.configuration
         self.configuration = configuration
-        for group in self._affected(earlier, configuration, changes):
+        for group in self._affected_groups(earlier, configuration, changes):
             self._reconcile(group)
 
     def view_changed(self, view: MembershipView) -> None:
@@ -154,7 +154,7 @@
             for transaction in home.group.transactions.open.values()
         )
 
-    async def handed_over(self, timeout_seconds: float) -> bool:
+    async def wait_until_handed_over(self, timeout_seconds: float) -> bool:
         """Wait until this VM is a home of nothing; return whether it is.
 
         Where no other VM is left to take over, it is enough that nothing is
@@ -163,18 +163,18 @@
         Args:
           timeout_seconds: The longest that this may take.
         """
-        until = self.timer.now() + timeout_seconds
+        deadline = self.timer.now() + timeout_seconds
         while not self._is_handed_over():
-            left = until - self.timer.now()
-            if left <= 0:
+            remaining_seconds = deadline - self.timer.now()
+            if remaining_seconds <= 0:
                 return False
-            await self.changed.wait(left)
+            await self.changed.wait(remaining_seconds)
         return True
 
     def _is_handed_over(self) -> bool:
-        alone = not self.view.live
+        no_live_members = not self.view.live
         homes = self.homes.values()
-        return all(h.idle and (h.retiring or alone) for h in homes)
+        return all(h.idle and (h.retiring or no_live_members) for h in homes)
 
     async def tick(self, now: float) -> None:
         """Do what time asks for.
@@ -193,7 +193,7 @@
                     reason="open for too long",
                 )
 
-    def _affected(
+    def _affected_groups(
         self,
         earlier: Configuration,
         configuration: Configuration,
@@ -230,7 +230,7 @@
 
     def _was_writer(self, group: str) -> bool:
         """Return whether a predecessor of this process was a writer."""
-        row = (self.first_rows or {}).get(group)
+        row = (self.initial_rows or {}).get(group)
         return row is not None and self.vm in row.writers
 
     def _data_center(self, name: str) -> str:
@@ -296,7 +296,7 @@
         home.agent.homes_changed(chosen, frozenset(self.view.live))
         if row is not None:
             entry = self.configuration.entries[(Kind.GROUP_ROW, spec.name)]
-            self._take_row(home, row, entry.version)
+            self._apply_row(home, row, entry.version)
 
     def _update_agent_servers(
         self, home: Home, servers: tuple[ServerSpec, ...]
@@ -311,7 +311,7 @@
             if known is not controls[name]:
                 home.agent.server_joined(controls[name])
 
-    def _take_row(self, home: Home, row: GroupRow, version: int) -> None:
+    def _apply_row(self, home: Home, row: GroupRow, version: int) -> None:
         held = self.leases.holds(row.group, row.term, self.timer.now())
         home.agent.row_changed(row, version)
         home.group.set_row(row, version)
@@ -334,9 +334,12 @@
             self._spawn(self._close_when_idle(name, home))
 
     async def _close_when_idle(self, name: str, home: Home) -> None:
-        until = self.timer.now() + MAX_RETIRE_SECONDS
-        while not home.idle and (left := until - self.timer.now()) > 0:
-            await self.changed.wait(left)
+        deadline = self.timer.now() + RETIRE_TIMEOUT_SECONDS
+        while (
+            not home.idle
+            and (remaining_seconds := deadline - self.timer.now()) > 0
+        ):
+            await self.changed.wait(remaining_seconds)
             if not home.retiring:
                 return
         if self.homes.get(name) is home:
@@ -350,8 +353,8 @@
             EventKind.CONNECTION_DROPPED, server=server, reason=why
         )
 
-    def _spawn(self, work: "asyncio.Future[None] | object") -> None:
-        task: asyncio.Task[None] = asyncio.ensure_future(work)  # type: ignore[arg-type]
+    def _spawn(self, awaitable: "asyncio.Future[None] | object") -> None:
+        task: asyncio.Task[None] = asyncio.ensure_future(awaitable)  # type: ignore[arg-type]
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/operator_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/operator_service.py
@@ -28,8 +28,8 @@
     StatementRequest,
 )
 
-LOOK_UP_DEADLINE_MS = 5_000
-RETRY_AFTER_MS = 1_000
+REQUEST_LOOKUP_DEADLINE_MS = 5_000
+PROMOTION_RETRY_AFTER_MS = 1_000
 
 
 class OperatorService:
@@ -115,7 +115,7 @@
         """
         home = self.registry.active(group)
         if home is None:
-            return self._elsewhere(group)
+            return self._not_active_home(group)
         self.timeline.record(
             EventKind.PROMOTION_REQUESTED,
             group=group,
@@ -130,7 +130,7 @@
             row = outcome.row
             return ActionDone({"primary": row.primary, "term": row.term})
         if isinstance(outcome, Incomplete):
-            return ActionRefused(str(outcome.reason), RETRY_AFTER_MS)
+            return ActionRefused(str(outcome.reason), PROMOTION_RETRY_AFTER_MS)
         return ActionRefused(outcome.reason)
 
     async def drain_self(self, actor: str) -> ActionOutcome:
@@ -155,7 +155,7 @@
             group,
             b"",
             request_id=request_id,
-            deadline_ms=LOOK_UP_DEADLINE_MS,
+            deadline_ms=REQUEST_LOOKUP_DEADLINE_MS,
             kind=StatementKind.SHOW_REQUEST,
         )
         result = await self.router.execute(request)
@@ -165,7 +165,7 @@
         values = [(value or b"").decode() for value in result.rows[0]]
         return dict(zip(names, values, strict=True))
 
-    def _elsewhere(self, group: str) -> ActionOutcome:
+    def _not_active_home(self, group: str) -> ActionOutcome:
         if group not in self.registry.configuration.groups:
             return NoSuchTarget(f"no database group {group!r} is declared")
         row = self.registry.configuration.group_rows.get(group)
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
@@ -9,7 +9,7 @@
 from jackdawcrank.membership import MembershipTracker
 from jackdawcrank.peers import PeerHandlers, PeerStreamPool
 from jackdawcrank.process.entry_router import EntryRouter
-from jackdawcrank.process.group_peers import answer_from
+from jackdawcrank.process.group_peers import answer_from_evidence
 from jackdawcrank.process.home_registry import HomeRegistry
 from jackdawcrank_wire.messages import (
     Answer,
@@ -25,8 +25,8 @@
     Leaving,
 )
 
-LEARN_SECONDS = 1.0
-PEERS_ASKED = 3
+PEER_READ_TIMEOUT_SECONDS = 1.0
+PEER_READ_FANOUT = 3
 
 
 class PeerService:
@@ -96,7 +96,7 @@
         home = self.registry.homes.get(message.group)
         if home is None:
             return EvidenceAnswer(0, message.group)
-        return answer_from(await home.agent.suspicion_asked())
+        return answer_from_evidence(await home.agent.suspicion_asked())
 
     async def changes_request(
         self, vm: str, message: ChangesRequest
@@ -131,14 +131,16 @@
         connected = self.peer_pool.connected() or sorted(
             self.peer_pool.addresses
         )
-        learned: list[PeerUpdate] = []
-        for vm in connected[:PEERS_ASKED]:
+        updates: list[PeerUpdate] = []
+        for vm in connected[:PEER_READ_FANOUT]:
             answer = await self.peer_pool.request(
-                vm, ChangesRequest(0, version), LEARN_SECONDS
+                vm, ChangesRequest(0, version), PEER_READ_TIMEOUT_SECONDS
             )
             if isinstance(answer, ChangesAnswer):
-                found = [
+                decoded = [
                     decode_peer_record(record) for record in answer.changes
                 ]
-                learned.extend(item for item in found if item is not None)
-        return learned
+                updates.extend(
+                    update for update in decoded if update is not None
+                )
+        return updates
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
@@ -34,13 +34,13 @@
 from jackdawcrank_wire.messages import ConfigVersion, Leaving
 from jackdawcrank_wire.settings import Settings
 
-TICK_SECONDS = 0.25
-METRICS_SECONDS = 10.0
-LISTING_SECONDS = 1.0
-HAND_OVER_SECONDS = 10.0
+HOME_TICK_SECONDS = 0.25
+METRICS_FLUSH_SECONDS = 10.0
+LISTING_CHECK_SECONDS = 1.0
+HANDOVER_TIMEOUT_SECONDS = 10.0
 BOOT_ID_BYTES = 4
 # Each of them tells as many again.
-PEERS_TOLD_OF_VERSION = 8
+VERSION_GOSSIP_FANOUT = 8
 
 
 class Proxy:
@@ -125,9 +125,13 @@
         await self.tracker.start()
         self._view_changed(self.tracker.view)
         await self.front.start()
-        self.timer.subscribe("homes", TICK_SECONDS, self.registry.tick)
-        self.timer.subscribe("listing", LISTING_SECONDS, self._check_listing)
-        self.timer.subscribe("metrics", METRICS_SECONDS, self._flush_metrics)
+        self.timer.subscribe("homes", HOME_TICK_SECONDS, self.registry.tick)
+        self.timer.subscribe(
+            "listing", LISTING_CHECK_SECONDS, self._check_listing
+        )
+        self.timer.subscribe(
+            "metrics", METRICS_FLUSH_SECONDS, self._flush_metrics
+        )
         self.ready = True
         self.timeline.record(EventKind.VM_READY)
 
@@ -146,7 +150,7 @@
         if self.draining is not None and not self.draining.done():
             self.draining.cancel()
             await asyncio.gather(self.draining, return_exceptions=True)
-        await self._close_parts()
+        await self._close_components()
 
     async def _drain(self) -> None:
         self.ready = False
@@ -156,10 +160,10 @@
         limit = self.settings.shutdown_timeout_seconds
         cut = await self.front.drain(limit)
         self.timeline.record(EventKind.CALLERS_CLOSED, cut=cut)
-        await self.registry.handed_over(HAND_OVER_SECONDS)
-        await self._close_parts()
+        await self.registry.wait_until_handed_over(HANDOVER_TIMEOUT_SECONDS)
+        await self._close_components()
 
-    async def _close_parts(self) -> None:
+    async def _close_components(self) -> None:
         if self.stopped.is_set():
             return
         self.ready = False
@@ -195,7 +199,7 @@
         )
 
     def _make_router(self) -> EntryRouter:
-        keys = tuple(_derived_key(key) for key in self.settings.token_keys)
+        keys = tuple(_derive_key(key) for key in self.settings.token_keys)
         return EntryRouter(
             self.settings.vm,
             self.registry,
@@ -212,7 +216,7 @@
             self.timer,
             on_change=self._configuration_changed,
             on_head_read=self.registry.head_read,
-            on_store_availability=self._store_changed,
+            on_store_availability=self._store_availability_changed,
             interval_seconds=self.settings.head_read_seconds,
             rng=self.rng,
         )
@@ -251,7 +255,7 @@
 
     def _make_tracker(self) -> MembershipTracker:
         settings = self.settings
-        own = Vm(
+        own_vm = Vm(
             settings.vm,
             settings.host,
             self.peer_server.port,
@@ -262,7 +266,7 @@
         return MembershipTracker(
             self.store,
             self.timer,
-            own,
+            own_vm,
             self.boot,
             self._view_changed,
             self.rng,
@@ -277,11 +281,15 @@
 
     def _is_ready(self) -> bool:
         """Return whether callers should be sent to this VM."""
-        known = self.follower.version > 0 or self.follower.store_available
-        return self.ready and known
+        has_configuration = (
+            self.follower.version > 0 or self.follower.store_available
+        )
+        return self.ready and has_configuration
 
-    def _store_changed(self, answers: bool) -> None:
-        kind = EventKind.STORE_RECOVERED if answers else EventKind.STORE_OUTAGE
+    def _store_availability_changed(self, available: bool) -> None:
+        kind = (
+            EventKind.STORE_RECOVERED if available else EventKind.STORE_OUTAGE
+        )
         self.timeline.record(kind)
 
     def _configuration_changed(
@@ -291,7 +299,7 @@
         self.registry.configuration_changed(configuration, changes)
         self.peer_pool.config_version = configuration.version
         self.peer_pool.broadcast(
-            ConfigVersion(configuration.version), PEERS_TOLD_OF_VERSION
+            ConfigVersion(configuration.version), VERSION_GOSSIP_FANOUT
         )
         self.timeline.record(
             EventKind.CONFIG_APPLIED, config_version=configuration.version
@@ -348,5 +356,5 @@
         await self.metrics.flush(now)
 
 
-def _derived_key(key: str) -> bytes:
+def _derive_key(key: str) -> bytes:
     return hashlib.sha256(key.encode()).digest()
--- a/packages/jackdawcrank-proxy/tests/process/test_caller_classes.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_caller_classes.py
@@ -34,7 +34,7 @@
     assert classes.admit("anna") is None
 
 
-def test_default_class_limits_everybody_else(classes: CallerClasses) -> None:
+def test_default_class_limits_unnamed_users(classes: CallerClasses) -> None:
     assert classes.admit("ben") is None
     refusal = classes.admit("ben")
     assert refusal is not None and refusal.retry_after_ms
@@ -52,6 +52,6 @@
     assert classes.admitted == {}
 
 
-def test_without_classes_nobody_is_limited() -> None:
+def test_callers_without_class_are_not_limited() -> None:
     classes = CallerClasses(clock=lambda: 0.0)
     assert all(classes.admit("ben") is None for _ in range(100))
--- a/packages/jackdawcrank-proxy/tests/process/test_entry_router.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_entry_router.py
@@ -53,7 +53,7 @@
         return Answer(0, answer)
 
 
-def router_with(
+def make_router(
     answers: dict[str, StatementResult | PeerUnreachable],
 ) -> tuple[EntryRouter, FakePeerPool]:
     row = GroupRow(GROUP, 1, GroupPhase.ACTIVE, "s1", "vm1", (*HOMES, ""))
@@ -89,7 +89,7 @@
 
 
 async def test_one_home_runs_a_statement() -> None:
-    router, peer_pool = router_with(ALL_OK)
+    router, peer_pool = make_router(ALL_OK)
     assert await router.execute(request()) == ResultOk(affected_rows=1)
     assert len(peer_pool.sent) == 1
 
@@ -102,9 +102,9 @@
         refused("no_server"),
     ],
 )
-async def test_another_home_is_tried_where_nothing_ran(answer: Any) -> None:
-    router, peer_pool = router_with(dict(ALL_OK))
-    first = router._homes(request())[0]
+async def test_other_home_is_tried_after_not_run(answer: Any) -> None:
+    router, peer_pool = make_router(dict(ALL_OK))
+    first = router._candidate_homes(request())[0]
     peer_pool.answers[first] = answer
     result = await router.execute(request(repeatable=False))
     assert result == ResultOk(affected_rows=1)
@@ -113,31 +113,31 @@
 
 @pytest.mark.parametrize("reason", ["overloaded", "write_lost", "limited"])
 async def test_other_refusals_go_to_the_caller(reason: str) -> None:
-    router, peer_pool = router_with(dict.fromkeys(HOMES, refused(reason)))
+    router, peer_pool = make_router(dict.fromkeys(HOMES, refused(reason)))
     result = await router.execute(request())
     assert isinstance(result, ResultError) and result.reason == reason
     assert len(peer_pool.sent) == 1
 
 
 async def test_write_that_may_have_run_is_unknown_and_not_repeated() -> None:
-    router, peer_pool = router_with(SENT)
+    router, peer_pool = make_router(SENT)
     result = await router.execute(request())
     assert isinstance(result, ResultError)
     assert result.outcome is StatementOutcome.UNKNOWN
     assert len(peer_pool.sent) == 1
 
 
-async def test_request_id_allows_a_second_try_unless_forbidden() -> None:
-    router, peer_pool = router_with(SENT)
+async def test_request_id_allows_retry_unless_not_repeatable() -> None:
+    router, peer_pool = make_router(SENT)
     await router.execute(request(request_id="r1"))
     assert len(peer_pool.sent) > 1
-    router, peer_pool = router_with(SENT)
+    router, peer_pool = make_router(SENT)
     await router.execute(request(request_id="r1", repeatable=False))
     assert len(peer_pool.sent) == 1
 
 
-async def test_no_home_in_reach_is_not_run() -> None:
-    router, _ = router_with(UNSENT)
+async def test_unreachable_homes_give_not_run() -> None:
+    router, _ = make_router(UNSENT)
     result = await router.execute(request())
     assert isinstance(result, ResultError)
     assert result.outcome is StatementOutcome.NOT_RUN
@@ -146,7 +146,7 @@
 
 async def test_transaction_stays_with_its_home() -> None:
     open_result = ResultOk(in_transaction=True)
-    router, peer_pool = router_with(dict.fromkeys(HOMES, open_result))
+    router, peer_pool = make_router(dict.fromkeys(HOMES, open_result))
     for _ in range(3):
         await router.execute(request(transaction_id="t1"))
     assert len({vm for vm, _ in peer_pool.sent}) == 1
@@ -158,7 +158,7 @@
 
 
 async def test_lost_commit_is_unknown_and_lost_statement_rolled_back() -> None:
-    router, peer_pool = router_with(SENT)
+    router, peer_pool = make_router(SENT)
     lost = await router.execute(request(transaction_id="t1"))
     assert isinstance(lost, ResultError)
     assert lost.outcome is StatementOutcome.FAILED
--- a/packages/jackdawcrank-proxy/tests/process/test_home_registry.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_home_registry.py
@@ -16,12 +16,13 @@
 from jackdawcrank_policy.values import CallerClassSpec, GroupSpec, Vm
 
 GROUPS = tuple(f"group{number}" for number in range(30))
-CENTERS = {f"vm{number}": f"dc{number % 3}" for number in range(9)}
+DATA_CENTERS = {f"vm{number}": f"dc{number % 3}" for number in range(9)}
 
 
 def view_of(names: list[str]) -> MembershipView:
     vms = {
-        name: Vm(name, "127.0.0.1", 1, 2, "r", CENTERS[name]) for name in names
+        name: Vm(name, "127.0.0.1", 1, 2, "r", DATA_CENTERS[name])
+        for name in names
     }
     return MembershipView(tuple(names), (), vms)
 
@@ -45,88 +46,92 @@
 
 
 @pytest.fixture
-def asked(
+def home_lookups(
     registry: HomeRegistry, monkeypatch: pytest.MonkeyPatch
 ) -> dict[str, int]:
     """How often each group's homes were looked at."""
     counts: dict[str, int] = {}
-    look_up = registry.index.homes
+    original_homes = registry.index.homes
 
     def homes(group: str) -> tuple[str, ...]:
         counts[group] = counts.get(group, 0) + 1
-        return look_up(group)
+        return original_homes(group)
 
     monkeypatch.setattr(registry.index, "homes", homes)
     return counts
 
 
-def declare(registry: HomeRegistry) -> Configuration:
+def declare_groups(registry: HomeRegistry) -> Configuration:
     groups = {name: GroupSpec(name) for name in GROUPS}
     configuration = Configuration(1, groups)
     registry.configuration_changed(configuration, ())
     return configuration
 
 
-def serving(registry: HomeRegistry) -> set[str]:
+def active_groups(registry: HomeRegistry) -> set[str]:
     return {n for n, home in registry.homes.items() if not home.retiring}
 
 
 async def test_homes_follow_the_membership(registry: HomeRegistry) -> None:
-    declare(registry)
+    declare_groups(registry)
     rng = random.Random(7)
     for _ in range(12):
-        names = rng.sample(sorted(CENTERS), rng.randint(0, len(CENTERS)))
+        names = rng.sample(
+            sorted(DATA_CENTERS), rng.randint(0, len(DATA_CENTERS))
+        )
         registry.view_changed(view_of(names))
-        assert serving(registry) == {
+        assert active_groups(registry) == {
             group
             for group in GROUPS
-            if "vm0" in home_vms(group, names, 3, CENTERS)
+            if "vm0" in home_vms(group, names, 3, DATA_CENTERS)
         }
-        for group in serving(registry):
+        for group in active_groups(registry):
             context = registry.homes[group].agent.context
-            assert context.homes == home_vms(group, names, 3, CENTERS)
+            assert context.homes == home_vms(group, names, 3, DATA_CENTERS)
             assert context.live == frozenset(names)
 
 
-async def test_a_view_touches_only_groups_whose_homes_changed(
-    registry: HomeRegistry, asked: dict[str, int]
+async def test_view_change_reconciles_only_affected_groups(
+    registry: HomeRegistry, home_lookups: dict[str, int]
 ) -> None:
-    declare(registry)
-    names = sorted(CENTERS)
+    declare_groups(registry)
+    names = sorted(DATA_CENTERS)
     registry.view_changed(view_of(names))
-    asked.clear()
+    home_lookups.clear()
     registry.view_changed(view_of(names[:-1]))
-    lost = {
-        group for group in GROUPS if "vm8" in home_vms(group, names, 3, CENTERS)
+    changed_groups = {
+        group
+        for group in GROUPS
+        if "vm8" in home_vms(group, names, 3, DATA_CENTERS)
     }
-    assert set(asked) == lost | set(registry.homes)
-    assert set(asked) < set(GROUPS)
+    assert set(home_lookups) == changed_groups | set(registry.homes)
+    assert set(home_lookups) < set(GROUPS)
 
 
-async def test_a_caller_class_touches_only_own_homes(
-    registry: HomeRegistry, asked: dict[str, int]
+async def test_caller_class_change_reconciles_only_local_homes(
+    registry: HomeRegistry, home_lookups: dict[str, int]
 ) -> None:
-    earlier = declare(registry)
-    registry.view_changed(view_of(sorted(CENTERS)))
-    asked.clear()
+    earlier = declare_groups(registry)
+    registry.view_changed(view_of(sorted(DATA_CENTERS)))
+    home_lookups.clear()
     spec = CallerClassSpec("batch")
     change = Change(2, Kind.CALLER_CLASS, "batch", value=spec)
     registry.configuration_changed(earlier.with_change(change), (change,))
-    assert set(asked) == set(registry.homes)
-    assert 0 < len(asked) < len(GROUPS)
+    assert set(home_lookups) == set(registry.homes)
+    assert 0 < len(home_lookups) < len(GROUPS)
     classes = [home.group.classes for home in registry.homes.values()]
-    assert classes == [{"batch": spec}] * len(asked)
+    assert classes == [{"batch": spec}] * len(home_lookups)
 
 
-async def test_open_transactions_tie_an_entry_proxy(
+async def test_open_transactions_hold_sessions_of_entry_proxy(
     registry: HomeRegistry,
 ) -> None:
-    declare(registry)
+    declare_groups(registry)
     registry.view_changed(view_of(["vm0"]))
     transactions = registry.homes["group3"].group.transactions
     assert not registry.holds_sessions_of("vm1")
-    session: Any = SimpleNamespace(session_id="vm1:5f3a:7")
-    transactions.open["t1"] = session
+    transaction: Any = SimpleNamespace(session_id="vm1:5f3a:7")
+    transactions.open["t1"] = transaction
     assert registry.holds_sessions_of("vm1")
     assert not registry.holds_sessions_of("vm")
     assert not registry.holds_sessions_of("vm10")
--- a/packages/jackdawcrank-proxy/tests/process/test_proxy.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_proxy.py
@@ -7,13 +7,13 @@
 import pytest
 
 from jackdawcrank.process import Proxy
-from jackdawcrank.process.proxy import PEERS_TOLD_OF_VERSION
+from jackdawcrank.process.proxy import VERSION_GOSSIP_FANOUT
 from jackdawcrank_policy.configuration import Configuration
 from jackdawcrank_wire.messages import ConfigVersion
 from jackdawcrank_wire.settings import Settings
 
 
-class Stream:
+class FakeStream:
     """An open stream that keeps what is posted."""
 
     usable = True
@@ -40,15 +40,17 @@
     return Proxy(settings, random.Random(1))
 
 
-async def test_a_new_version_is_told_to_a_few_peers(proxy: Proxy) -> None:
-    streams: dict[str, Any] = {f"vm{n}": Stream() for n in range(1, 50)}
+async def test_new_version_is_announced_to_few_peers(proxy: Proxy) -> None:
+    streams: dict[str, Any] = {f"vm{n}": FakeStream() for n in range(1, 50)}
     proxy.peer_pool.streams.update(streams)
     proxy._configuration_changed(Configuration(4), ())
-    told = [one.posted for one in streams.values() if one.posted]
-    assert told == [[ConfigVersion(4)]] * PEERS_TOLD_OF_VERSION
+    posted_lists = [
+        stream.posted for stream in streams.values() if stream.posted
+    ]
+    assert posted_lists == [[ConfigVersion(4)]] * VERSION_GOSSIP_FANOUT
 
 
-async def test_peers_are_watched_while_transactions_tie_them(
+async def test_peers_with_open_transactions_are_monitored(
     proxy: Proxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     is_peer_monitored = proxy.peer_pool.is_peer_monitored
@@ -56,9 +58,11 @@
     proxy.router.pinned["t1"] = "vm1"
     assert is_peer_monitored("vm1")
     proxy.router.pinned.clear()
-    held: Any = SimpleNamespace(session_id="vm2:5f3a:7")
+    transaction: Any = SimpleNamespace(session_id="vm2:5f3a:7")
     home: Any = SimpleNamespace(
-        group=SimpleNamespace(transactions=SimpleNamespace(open={"t1": held}))
+        group=SimpleNamespace(
+            transactions=SimpleNamespace(open={"t1": transaction})
+        )
     )
     monkeypatch.setitem(proxy.registry.homes, "ledger", home)
     assert is_peer_monitored("vm2")
