--- a/packages/jackdawcrank-proxy/src/jackdawcrank/main.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/main.py
@@ -1,4 +1,4 @@
-"""The command line of the proxy process."""
+"""The command-line interface of the proxy process."""
 
 import asyncio
 import pathlib
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/__init__.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/__init__.py
@@ -1,4 +1,4 @@
-"""The proxy process: how its parts are put together."""
+"""The proxy process, which creates and connects all components."""
 
 from jackdawcrank.process.proxy import Proxy
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/caller_classes.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/caller_classes.py
@@ -1,4 +1,4 @@
-"""The limits of callers by their class."""
+"""Rate and concurrency limits of callers, by caller class."""
 
 import collections
 from collections.abc import Callable, Mapping
@@ -10,12 +10,18 @@
 
 
 class CallerClasses:
-    """Finds a caller's class and counts statements against its limits.
+    """Maps callers to their classes and enforces the limits of the classes.
 
-    Without a declared class a caller has no limits of its own.
+    A caller whose class is not declared is not limited.
 
     Attributes:
+      clock: Returns the time in seconds on the monotonic clock.
       specs: The declared classes by name.
+      class_of_user: The names of the callers' classes by user name.
+      limits: The limits of the declared classes by class name.
+      admitted: The limits that each running statement was admitted under, by
+        user name, oldest first; None for a statement without limits. Kept so that the
+        counts stay right when the classes change.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -26,7 +32,7 @@
         self.admitted: dict[str, collections.deque[CallerLimits | None]] = {}
 
     def set_specs(self, specs: Mapping[str, CallerClassSpec]) -> None:
-        """Follow a change of the declared classes.
+        """Apply a change of the declared classes.
 
         Args:
           specs: The declared classes by name.
@@ -50,7 +56,7 @@
         return self.class_of_user.get(user, DEFAULT_CLASS)
 
     def admit(self, user: str) -> NotRun | None:
-        """Count a statement of a caller, or refuse it.
+        """Admit a statement of a caller; return the refusal if it is refused.
 
         Args:
           user: The caller's user name.
@@ -65,7 +71,7 @@
         return None
 
     def finish(self, user: str) -> None:
-        """Count the end of a statement that was admitted.
+        """Record that an admitted statement has finished.
 
         Args:
           user: The caller's user name.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
@@ -1,4 +1,4 @@
-"""Takes a caller's statement to a home proxy of its group."""
+"""Routes callers' statements to the home proxies of their groups."""
 
 import zlib
 from collections.abc import Callable
@@ -38,7 +38,7 @@
 MAX_HOMES_TRIED = 4
 NO_HOME_RETRY_MS = 300
 DEFAULT_TIMEOUT_MS = 30_000
-# Refusals that another home may not give.
+# Reasons for refusal that may not apply to another home.
 RETRYABLE_REASONS = frozenset(
     {
         NotRunReason.SHUTTING_DOWN.value,
@@ -47,19 +47,23 @@
         NotRunReason.NO_SERVER.value,
     }
 )
-# Statements that find nothing to do where a transaction is not known.
+# Statements that have no effect if the transaction is not open.
 ROLLBACK_KINDS = frozenset({StatementKind.ROLLBACK, StatementKind.END_SESSION})
 
 
 class EntryRouter:
-    """Runs statements on this VM or forwards them.
+    """Runs statements on this VM or forwards them to other home proxies.
 
     Attributes:
+      vm: This VM's name.
       registry: The homes on this VM.
       peer_pool: The streams to other VMs.
       classes: The callers' classes.
-      signer: Signs session tokens.
-      metrics: Counts.
+      signer: Signs and verifies session tokens.
+      metrics: The metrics of this process.
+      clock: Returns the time in seconds on the monotonic clock.
+      pinned: The home proxy of each open transaction, by transaction id.
+      retries: Limits the retries on other homes.
     """
 
     def __init__(
@@ -97,7 +101,7 @@
         return result
 
     def is_configured(self) -> bool:
-        """Return whether any configuration has been read yet."""
+        """Return whether a configuration has been read."""
         return self.registry.configuration.version > 0
 
     def knows_group(self, group: str) -> bool:
@@ -109,7 +113,7 @@
         return group in self.registry.configuration.groups
 
     def statement_timeout_ms(self, group: str) -> int:
-        """Return the longest that a statement on a group may run.
+        """Return the statement timeout of a group in milliseconds.
 
         Args:
           group: The group's name.
@@ -118,7 +122,7 @@
         return spec.statement_timeout_ms if spec else DEFAULT_TIMEOUT_MS
 
     def branch(self, group: str) -> Branch:
-        """Return the branch of a group's log.
+        """Return the current branch of a group's log.
 
         Args:
           group: The group's name.
@@ -135,7 +139,7 @@
         return self.classes.name_of(user)
 
     def admit(self, user: str) -> NotRun | None:
-        """Count a statement against a caller's limits, or refuse it.
+        """Admit a statement of a caller; return the refusal if it is refused.
 
         Args:
           user: The caller's user name.
@@ -143,7 +147,7 @@
         return self.classes.admit(user)
 
     def finish(self, user: str) -> None:
-        """Count the end of a statement that was admitted.
+        """Record that an admitted statement has finished.
 
         Args:
           user: The caller's user name.
@@ -159,10 +163,10 @@
         return self.signer.sign(token)
 
     def verify(self, text: str) -> SessionToken | InvalidToken:
-        """Return the session token in a signed text.
+        """Return the session token in a signed text if the text is valid.
 
         Args:
-          text: What a caller gave.
+          text: The text that a caller sent.
         """
         return self.signer.verify(text)
 
@@ -174,13 +178,13 @@
         """
         home = self.registry.homes.get(request.group)
         if home is None or (home.retiring and not request.transaction_id):
-            return _no_home("this proxy is no home of the group")
+            return _no_home("this proxy is not a home of the group")
         return await home.group.execute(request)
 
     async def _execute_outside_transaction(
         self, request: StatementRequest
     ) -> StatementResult:
-        """Run a statement that no transaction ties to a home."""
+        """Run a statement outside a transaction, retrying on other homes."""
         deadline = self.clock() + request.deadline_ms / 1000
         self.retries.record_attempt()
         result: StatementResult | None = None
@@ -203,7 +207,7 @@
     ) -> StatementResult:
         home = self.pinned.get(request.transaction_id)
         if home is None and request.kind in ROLLBACK_KINDS:
-            return rolled_back_error("it is not open")
+            return rolled_back_error("it is not open on this entry proxy")
         if home is None:
             homes = self._candidate_homes(request)
             if not homes:
@@ -216,7 +220,7 @@
         return result
 
     def _candidate_homes(self, request: StatementRequest) -> list[str]:
-        """Return the group's home proxies in the order to try them."""
+        """Return the group's home proxies in the order of attempts."""
         row = self.registry.configuration.group_rows.get(request.group)
         if row is None:
             return []
@@ -242,7 +246,7 @@
             return answer.result
         if isinstance(answer, PeerUnreachable):
             return _unreachable(answer, request)
-        return result_error(Unknown("the home proxy gave no usable answer"))
+        return result_error(Unknown("the home proxy sent an unexpected answer"))
 
     def _record_metrics(
         self,
@@ -264,7 +268,7 @@
 
 
 def result_keeps_transaction(result: StatementResult) -> bool:
-    """Return whether a transaction goes on after a result.
+    """Return whether a transaction is still open after a result.
 
     Args:
       result: The result of one of its statements.
@@ -281,7 +285,8 @@
         return result.reason in RETRYABLE_REASONS
     is_read = request.kind is StatementKind.READ
     in_doubt = result.outcome is StatementOutcome.UNKNOWN
-    # A request id makes a second try find the first one's result.
+    # With a request id, a retry returns the recorded result of the first
+    # attempt if that one was executed.
     is_idempotent = is_read or bool(request.request_id)
     return in_doubt and is_idempotent and request.repeatable
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/group_peers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/group_peers.py
@@ -1,4 +1,4 @@
-"""Asks other VMs on behalf of coordination."""
+"""Requests between proxies for the coordination of database groups."""
 
 from jackdawcrank.peers import PeerStreamPool
 from jackdawcrank_policy.detection import PrimaryEvidence, PrimaryHealth
@@ -13,10 +13,10 @@
 
 
 class StreamGroupPeers:
-    """Carries coordination's questions over the streams between proxies.
+    """Sends coordination requests over the streams between proxies.
 
     Attributes:
-      peer_pool: The streams.
+      peer_pool: The streams to other VMs.
     """
 
     def __init__(self, peer_pool: PeerStreamPool) -> None:
@@ -25,13 +25,13 @@
     async def give_up_lease(
         self, vm: str, group: str, term: int, timeout_seconds: float
     ) -> bool:
-        """Have a VM give up its leases below a term; False if it did not.
+        """Ask a VM to give up its leases below a term; return whether it did.
 
         Args:
           vm: The VM.
           group: The group's name.
           term: The claimed term.
-          timeout_seconds: The longest that this may take.
+          timeout_seconds: The timeout of the request in seconds.
         """
         request = GiveUpLease(0, group, term)
         answer = await self.peer_pool.request(vm, request, timeout_seconds)
@@ -42,12 +42,12 @@
     async def ask_suspicion(
         self, vm: str, group: str, timeout_seconds: float
     ) -> PrimaryEvidence | None:
-        """Return what a VM has seen of the group's primary.
+        """Return a VM's evidence on the group's primary; None if unavailable.
 
         Args:
           vm: The VM.
           group: The group's name.
-          timeout_seconds: The longest that this may take.
+          timeout_seconds: The timeout of the request in seconds.
         """
         request = AskEvidence(0, group)
         answer = await self.peer_pool.request(vm, request, timeout_seconds)
@@ -58,13 +58,13 @@
     async def announce_row(
         self, vm: str, row: GroupRow, version: int, timeout_seconds: float
     ) -> bool:
-        """Tell a VM of a newer version, so that it reads it at once.
+        """Notify a VM of a new version, so that the VM reads it immediately.
 
         Args:
           vm: The VM.
-          row: The row that was written.
-          version: The change log's version that wrote it.
-          timeout_seconds: The longest that this may take.
+          row: The row that was written; it is not sent.
+          version: The version of the change log that contains the row.
+          timeout_seconds: The timeout of the request in seconds.
         """
         return await self.peer_pool.notify(
             vm, ConfigVersion(version), timeout_seconds
@@ -74,7 +74,7 @@
 def evidence_from_answer(
     vm: str, answer: EvidenceAnswer
 ) -> PrimaryEvidence | None:
-    """Return the evidence in a peer's answer; None if it has none.
+    """Return the evidence in a peer's answer; None if it is invalid.
 
     Args:
       vm: The peer.
@@ -96,10 +96,10 @@
 
 
 def answer_from_evidence(evidence: PrimaryEvidence) -> EvidenceAnswer:
-    """Return evidence as an answer to a peer.
+    """Return the answer to a peer that contains the evidence.
 
     Args:
-      evidence: What this VM has seen.
+      evidence: The evidence of this VM.
     """
     return EvidenceAnswer(
         0,
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/home.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/home.py
@@ -1,4 +1,4 @@
-"""One database group that this VM is a home of, with its coordination."""
+"""A database group that this VM is a home of."""
 
 import attrs
 
@@ -8,12 +8,13 @@
 
 @attrs.define(eq=False)
 class Home:
-    """A group's statements and its coordination on this VM.
+    """The statement execution and coordination of a group on this VM.
 
     Attributes:
-      group: Serves statements.
-      agent: Watches the servers and moves the primary.
-      retiring: Whether this VM is no home of the group any more.
+      group: Executes statements.
+      agent: Monitors the servers and runs promotions.
+      retiring: Whether this VM is no longer a home of the group; the home
+        closes once it is idle.
     """
 
     group: HomeGroup
@@ -22,5 +23,5 @@
 
     @property
     def idle(self) -> bool:
-        """Return whether nothing is in flight."""
+        """Return whether no statement runs and no transaction is open."""
         return not self.group.in_flight and not self.group.transactions.open
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
@@ -1,4 +1,4 @@
-"""The groups that this VM is a home of."""
+"""The registry of the homes on this VM."""
 
 import asyncio
 import random
@@ -31,11 +31,17 @@
 
     Attributes:
       vm: This VM's name.
-      homes: The homes by group, retiring ones included.
+      index: The VMs selected as homes of each group.
+      on_row: Called with each group row that this VM wrote and its version.
+      homes: The homes by group, including retiring homes.
       configuration: The configuration in force.
-      view: The membership as this VM sees it.
-      index: The homes that are chosen for each group.
+      view: This VM's view of the membership.
       leases: The term leases of this VM.
+      initial_rows: The group rows of the first configuration that was
+        applied; None before that.
+      tasks: The running background tasks.
+      changed: Notified when the membership changes, a home retires, work
+        finishes or a peer is lost.
     """
 
     def __init__(
@@ -80,7 +86,7 @@
         self.homes.clear()
 
     def active(self, group: str) -> Home | None:
-        """Return the home of a group, if it may take new statements.
+        """Return the home of a group if it accepts new statements.
 
         Args:
           group: The group's name.
@@ -93,11 +99,11 @@
     def configuration_changed(
         self, configuration: Configuration, changes: tuple[Change, ...]
     ) -> None:
-        """Follow changes of the configuration.
+        """Apply changes of the configuration.
 
         Args:
           configuration: The configuration in force.
-          changes: What changed; empty if everything may have.
+          changes: The changes; empty if anything may have changed.
         """
         if self.initial_rows is None:
             self.initial_rows = dict(configuration.group_rows)
@@ -107,10 +113,10 @@
             self._reconcile(group)
 
     def view_changed(self, view: MembershipView) -> None:
-        """Follow a change of the membership.
+        """Apply a change of the membership.
 
         Args:
-          view: The membership as this VM sees it.
+          view: This VM's view of the membership.
         """
         self.view = view
         self.changed.notify()
@@ -121,18 +127,18 @@
             self._reconcile(group)
 
     def head_read(self, sent_at: float, version: int) -> None:
-        """Renew the term leases.
+        """Renew the term leases after a read of the change log's head.
 
         Args:
-          sent_at: The time before the read was sent, in seconds.
-          version: The version that it returned.
+          sent_at: When the read was sent, in seconds on the monotonic clock.
+          version: The version that the read returned.
         """
         self.leases.renew(sent_at, version)
         for home in self.homes.values():
             home.group.state.hold_term()
 
     def peer_lost(self, vm: str) -> None:
-        """Close the transactions of a lost entry proxy's sessions.
+        """Close the transactions of an unreachable entry proxy's sessions.
 
         Args:
           vm: The VM.
@@ -142,7 +148,7 @@
         self.changed.notify()
 
     def holds_sessions_of(self, vm: str) -> bool:
-        """Return whether sessions of an entry proxy have transactions here.
+        """Return whether an entry proxy has open transactions on this VM.
 
         Args:
           vm: The VM.
@@ -155,13 +161,13 @@
         )
 
     async def wait_until_handed_over(self, timeout_seconds: float) -> bool:
-        """Wait until this VM is a home of nothing; return whether it is.
+        """Wait until all homes are handed over; return whether they are.
 
-        Where no other VM is left to take over, it is enough that nothing is
-        in flight.
+        A home is handed over once it is retiring and idle. If no live VM can
+        take over, an idle home is sufficient.
 
         Args:
-          timeout_seconds: The longest that this may take.
+          timeout_seconds: The timeout in seconds.
         """
         deadline = self.timer.now() + timeout_seconds
         while not self._is_handed_over():
@@ -177,10 +183,10 @@
         return all(h.idle and (h.retiring or no_live_members) for h in homes)
 
     async def tick(self, now: float) -> None:
-        """Do what time asks for.
+        """Run the periodic work of all homes.
 
         Args:
-          now: The time on the monotonic clock.
+          now: The time in seconds on the monotonic clock.
         """
         for name, home in self.homes.items():
             if home.group.expiry.is_due(now) and home.agent.context.is_acting:
@@ -229,7 +235,7 @@
         self._update(home, spec, chosen, row)
 
     def _was_writer(self, group: str) -> bool:
-        """Return whether a predecessor of this process was a writer."""
+        """Return whether an earlier process of this VM was a writer."""
         row = (self.initial_rows or {}).get(group)
         return row is not None and self.vm in row.writers
 
@@ -362,7 +368,7 @@
 def _groups_of(
     change: Change, earlier: Configuration, configuration: Configuration
 ) -> set[str]:
-    """Return the groups that a change concerns."""
+    """Return the groups that a change affects."""
     if change.kind in (Kind.DATABASE_GROUP, Kind.GROUP_ROW):
         return {change.name}
     servers = (
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/operator_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/operator_service.py
@@ -1,4 +1,4 @@
-"""What the resource API may ask of this process."""
+"""The operations of this process that the operator API uses."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any
@@ -33,17 +33,17 @@
 
 
 class OperatorService:
-    """The operator's side of the process.
+    """Implements the operator API's status queries and actions.
 
     Attributes:
       vm: This VM's name.
-      store: The store.
-      change_log: Writes changes.
-      follower: The configuration in force.
+      store: The client of the store.
+      change_log: Writes changes of the configuration.
+      follower: Maintains the configuration in force.
       timeline: The events of this process.
       registry: The homes on this VM.
-      router: Runs statements.
-      is_ready: Tells whether callers should be sent here.
+      router: Routes statements.
+      is_ready: Returns whether callers should be sent to this VM.
       drain: Begins the graceful shutdown.
     """
 
@@ -78,7 +78,7 @@
         return self.registry.view
 
     def status(self) -> Mapping[str, Any]:
-        """Return the process's state as JSON values."""
+        """Return the state of the process as JSON values."""
         view = self.registry.view
         return {
             "live": list(view.live),
@@ -90,11 +90,11 @@
         }
 
     def resource_status(self, kind: str, name: str) -> Mapping[str, Any]:
-        """Return what this VM knows of a resource; empty if nothing.
+        """Return the status of a resource as JSON values; empty if unknown.
 
         Args:
           kind: The resource's kind.
-          name: Its name.
+          name: The resource's name.
         """
         if kind == "DatabaseGroup":
             return self._group_status(name)
@@ -105,13 +105,13 @@
     async def promote(
         self, group: str, server: str | None, actor: str, force: bool = False
     ) -> ActionOutcome:
-        """Move a group's primary.
+        """Promote a server of a group to primary.
 
         Args:
           group: The database group.
-          server: The new primary; None leaves the choice to the system.
-          actor: Who asked.
-          force: Whether to do so with too few servers in reach.
+          server: The new primary; None to have one selected automatically.
+          actor: The operator who requested it.
+          force: Whether to promote even if too few servers are reachable.
         """
         home = self.registry.active(group)
         if home is None:
@@ -137,7 +137,7 @@
         """Begin the graceful shutdown of this VM.
 
         Args:
-          actor: Who asked.
+          actor: The operator who requested it.
         """
         await self.drain(actor)
         return ActionDone({"vm": self.vm})
@@ -145,11 +145,11 @@
     async def request_outcome(
         self, group: str, request_id: str
     ) -> Mapping[str, Any] | None:
-        """Return what became of a request; None if nothing is known.
+        """Return the recorded outcome of a request; None if unknown.
 
         Args:
           group: The database group.
-          request_id: The caller's id of the request.
+          request_id: The request id that the caller set.
         """
         request = StatementRequest(
             group,
@@ -171,7 +171,7 @@
         row = self.registry.configuration.group_rows.get(group)
         homes = ", ".join(writer_names(row.writers)) if row else "none yet"
         return ActionRefused(
-            f"{self.vm} is no home of {group}; ask one of: {homes}"
+            f"{self.vm} is not a home of {group}; its homes are: {homes}"
         )
 
     def _home_status(self, home: Home) -> Mapping[str, Any]:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
@@ -1,4 +1,4 @@
-"""Answers what other proxies send."""
+"""Handlers for the messages of other proxies."""
 
 from jackdawcrank.config import (
     ConfigurationFollower,
@@ -35,8 +35,8 @@
     Attributes:
       registry: The homes on this VM.
       router: Runs forwarded statements.
-      follower: The configuration in force.
-      tracker: The membership.
+      follower: Maintains the configuration in force.
+      tracker: Tracks the membership.
       peer_pool: The streams to other VMs.
     """
 
@@ -55,10 +55,10 @@
         self.peer_pool = peer_pool
 
     def register(self, handlers: PeerHandlers) -> None:
-        """Set the handlers.
+        """Register a handler for each message type.
 
         Args:
-          handlers: The handlers of the streams.
+          handlers: The message handlers of the streams.
         """
         handlers.register(Execute, self.execute)
         handlers.register(GiveUpLease, self.give_up_lease)
@@ -76,7 +76,7 @@
     async def give_up_lease(
         self, vm: str, message: GiveUpLease
     ) -> LeaseGivenUp | None:
-        """Give up a term lease for a promotion."""
+        """Give up the leases below a claimed term for a promotion."""
         self.tracker.heard(vm)
         home = self.registry.homes.get(message.group)
         if home is not None:
@@ -91,7 +91,7 @@
     async def ask_evidence(
         self, vm: str, message: AskEvidence
     ) -> EvidenceAnswer:
-        """Tell what this VM has seen of a group's primary."""
+        """Return this VM's evidence on a group's primary."""
         self.tracker.heard(vm)
         home = self.registry.homes.get(message.group)
         if home is None:
@@ -101,7 +101,7 @@
     async def changes_request(
         self, vm: str, message: ChangesRequest
     ) -> ChangesAnswer:
-        """Pass on configuration changes that the peer lacks."""
+        """Return configuration changes that the peer lacks."""
         self.tracker.heard(vm)
         first, records = peer_records(
             self.follower.state, message.after, message.limit
@@ -109,24 +109,24 @@
         return ChangesAnswer(0, first, records, self.follower.version)
 
     async def config_version(self, vm: str, message: ConfigVersion) -> None:
-        """Read the change log at once if a peer is ahead."""
+        """Read the change log immediately if a peer has a newer version."""
         self.tracker.heard(vm)
         await self.follower.handle_peer_version(message.version)
 
     async def hello(self, vm: str, message: Hello) -> None:
-        """Take in a peer's start of a stream."""
+        """Record a peer's boot id and its configuration version."""
         self.tracker.heard(vm, boot=message.boot)
         await self.follower.handle_peer_version(message.config_version)
 
     async def leaving(self, vm: str, message: Leaving) -> None:
-        """Take in that a peer is shutting down."""
+        """Record that a peer is shutting down."""
         self.tracker.announced_leaving(message.vm)
 
     async def read_from_peers(self, version: int) -> list[PeerUpdate]:
-        """Ask some peers for the changes above a version.
+        """Return the changes after a version, as read from a few peers.
 
         Args:
-          version: The version in force here.
+          version: The version in force on this VM.
         """
         connected = self.peer_pool.connected() or sorted(
             self.peer_pool.addresses
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy process."""
+"""The proxy process of one entry VM."""
 
 import asyncio
 import hashlib
@@ -39,21 +39,25 @@
 LISTING_CHECK_SECONDS = 1.0
 HANDOVER_TIMEOUT_SECONDS = 10.0
 BOOT_ID_BYTES = 4
-# Each of them tells as many again.
+# Each notified peer notifies the same number of peers in turn.
 VERSION_GOSSIP_FANOUT = 8
 
 
 class Proxy:
-    """Everything that runs on one entry VM.
+    """Creates, starts and stops the components of the proxy process.
 
     Attributes:
       settings: The settings.
-      boot: The id of this process.
-      timeline: The events of this process.
+      boot: The boot id of this process.
+      timeline: Records the events of this process.
       registry: The homes on this VM.
-      front: Listens for callers.
-      peer_server: Listens for other proxies.
-      api: Listens for operators.
+      front: The server for callers.
+      peer_server: The server for other proxies.
+      api: The server for operators.
+      listed_live: Whether the platform has listed this VM as live since this
+        process started.
+      ready: Whether startup has finished and shutdown has not begun.
+      draining: The task of the graceful shutdown; None before it begins.
       stopped: Set once the process has shut down.
     """
 
@@ -109,7 +113,7 @@
         self.stopped = asyncio.Event()
 
     async def start(self) -> None:
-        """Start every part; callers are served once this returns."""
+        """Start all components; callers are served once this returns."""
         self.timeline.record(EventKind.VM_STARTED)
         await self.metrics.start()
         await self.store.start()
@@ -136,17 +140,17 @@
         self.timeline.record(EventKind.VM_READY)
 
     async def drain(self, actor: str = "") -> None:
-        """Begin the graceful shutdown; `stopped` is set at its end.
+        """Begin the graceful shutdown; `stopped` is set when it ends.
 
         Args:
-          actor: Who asked for it.
+          actor: The operator or system that requested it.
         """
         if self.draining is None:
             self.timeline.record(EventKind.VM_LEAVING, actor=actor)
             self.draining = asyncio.create_task(self._drain())
 
     async def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately, without a graceful shutdown."""
         if self.draining is not None and not self.draining.done():
             self.draining.cancel()
             await asyncio.gather(self.draining, return_exceptions=True)
@@ -317,7 +321,7 @@
         logging.info("members live=%s leaving=%s", view.live, view.leaving)
 
     def _row_written(self, row: GroupRow, version: int) -> None:
-        """Apply a row that this VM wrote without waiting for the timer."""
+        """Read a row that this VM wrote without waiting for the next poll."""
         task = asyncio.ensure_future(self.follower.handle_peer_version(version))
         self.registry.tasks.add(task)
         task.add_done_callback(self.registry.tasks.discard)
@@ -329,16 +333,17 @@
             self.tracker.stream_failed(vm)
 
     def _is_monitored(self, vm: str) -> bool:
-        """Return whether a transaction ties this VM and a peer together."""
+        """Return whether an open transaction involves this VM and a peer."""
         if self.registry.holds_sessions_of(vm):
             return True
         return vm in self.router.pinned.values()
 
     async def _check_listing(self, now: float) -> None:
-        """Shut down once the platform lists this VM as leaving.
+        """Begin the shutdown once the platform lists this VM as leaving.
 
-        An older process of this name may have been listed so, hence the VM
-        must have been listed as live since this one started.
+        The listing may still refer to an earlier process of this VM.
+        Therefore it only counts after the VM has been listed as live since
+        this process started.
         """
         if self.tracker is None:
             return
--- a/packages/jackdawcrank-proxy/tests/process/test_caller_classes.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_caller_classes.py
@@ -1,4 +1,4 @@
-"""Tests of callers' classes and their limits."""
+"""Tests of caller classes and their limits."""
 
 import pytest
 
--- a/packages/jackdawcrank-proxy/tests/process/test_entry_router.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_entry_router.py
@@ -1,4 +1,4 @@
-"""Tests of taking statements to home proxies."""
+"""Tests of the routing of statements to home proxies."""
 
 from typing import Any
 
@@ -29,7 +29,7 @@
 
 @attrs.define
 class FakeRegistry:
-    """A VM that is a home of no group."""
+    """A registry of a VM that is not a home of any group."""
 
     configuration: Configuration
     homes: dict[str, Any] = attrs.Factory(dict)
@@ -40,7 +40,7 @@
 
 @attrs.define
 class FakePeerPool:
-    """Answers as each home is set to; keeps what was sent where."""
+    """Returns a preset answer for each home and records all requests."""
 
     answers: dict[str, StatementResult | PeerUnreachable]
     sent: list[tuple[str, StatementRequest]] = attrs.Factory(list)
--- a/packages/jackdawcrank-proxy/tests/process/test_home_registry.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_home_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the groups that a VM is a home of."""
+"""Tests of the registry of homes on a VM."""
 
 import random
 from collections.abc import AsyncIterator
@@ -49,7 +49,7 @@
 def home_lookups(
     registry: HomeRegistry, monkeypatch: pytest.MonkeyPatch
 ) -> dict[str, int]:
-    """How often each group's homes were looked at."""
+    """The number of lookups of each group's homes."""
     counts: dict[str, int] = {}
     original_homes = registry.index.homes
 
--- a/packages/jackdawcrank-proxy/tests/process/test_proxy.py
+++ b/packages/jackdawcrank-proxy/tests/process/test_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of the parts of one process together."""
+"""Tests of the interaction of the components of a proxy process."""
 
 import random
 from types import SimpleNamespace
@@ -14,7 +14,7 @@
 
 
 class FakeStream:
-    """An open stream that keeps what is posted."""
+    """An open stream that records the posted messages."""
 
     usable = True
 
