--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
@@ -92,12 +92,12 @@
         Args:
           request: The statement with its options.
         """
-        started = self.clock()
+        started_at = self.clock()
         if request.transaction_id:
             result = await self._execute_in_transaction(request)
         else:
             result = await self._execute_outside_transaction(request)
-        self._record_metrics(request, result, started)
+        self._record_metrics(request, result, started_at)
         return result
 
     def is_configured(self) -> bool:
@@ -252,19 +252,19 @@
         self,
         request: StatementRequest,
         result: StatementResult,
-        started: float,
+        started_at: float,
     ) -> None:
         group = request.group
         self.metrics.count(metric_names.STATEMENTS, group=group)
-        elapsed = self.clock() - started
+        elapsed = self.clock() - started_at
         self.metrics.timing(metric_names.STATEMENT_TIME, elapsed, group)
         if isinstance(result, ResultError):
-            spec = {
+            metric = {
                 StatementOutcome.NOT_RUN: metric_names.REFUSED,
                 StatementOutcome.FAILED: metric_names.FAILED,
                 StatementOutcome.UNKNOWN: metric_names.UNKNOWN,
             }[result.outcome]
-            self.metrics.count(spec, group=group)
+            self.metrics.count(metric, group=group)
 
 
 def result_keeps_transaction(result: StatementResult) -> bool:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
@@ -354,9 +354,9 @@
         await home.agent.close()
         await home.group.close()
 
-    def _connection_dropped(self, server: str, why: str) -> None:
+    def _connection_dropped(self, server: str, reason: str) -> None:
         self.timeline.record(
-            EventKind.CONNECTION_DROPPED, server=server, reason=why
+            EventKind.CONNECTION_DROPPED, server=server, reason=reason
         )
 
     def _spawn(self, awaitable: "asyncio.Future[None] | object") -> None:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/operator_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/operator_service.py
@@ -124,8 +124,8 @@
             force=force,
         )
         agent = home.agent
-        move = agent.force_promote if force else agent.switch_over
-        outcome = await move(server)
+        promotion_method = agent.force_promote if force else agent.switch_over
+        outcome = await promotion_method(server)
         if isinstance(outcome, Moved):
             row = outcome.row
             return ActionDone({"primary": row.primary, "term": row.term})
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
@@ -128,11 +128,9 @@
         Args:
           version: The version in force on this VM.
         """
-        connected = self.peer_pool.connected() or sorted(
-            self.peer_pool.addresses
-        )
+        peers = self.peer_pool.connected() or sorted(self.peer_pool.addresses)
         updates: list[PeerUpdate] = []
-        for vm in connected[:PEER_READ_FANOUT]:
+        for vm in peers[:PEER_READ_FANOUT]:
             answer = await self.peer_pool.request(
                 vm, ChangesRequest(0, version), PEER_READ_TIMEOUT_SECONDS
             )
