--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/group_peers.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/group_peers.py
@@ -25,7 +25,7 @@
     async def give_up_lease(
         self, vm: str, group: str, term: int, timeout_seconds: float
     ) -> bool:
-        """Ask a VM to give up its leases below a term; return whether it did.
+        """Ask a VM to give up leases below a term; return if it confirmed.
 
         Args:
           vm: The VM.
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
@@ -114,7 +114,7 @@
         await self.follower.handle_peer_version(message.version)
 
     async def hello(self, vm: str, message: Hello) -> None:
-        """Record a peer's boot id and its configuration version."""
+        """Record the boot id and version that a peer sent on a new stream."""
         self.tracker.heard(vm, boot=message.boot)
         await self.follower.handle_peer_version(message.config_version)
 
