--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/entry_router.py
@@ -1,4 +1,4 @@
-"""Takes a caller's statement to a home proxy of its group."""
+"""Routes callers' statements to the home proxies of their groups."""
 
 import zlib
 from collections.abc import Callable
@@ -38,8 +38,8 @@
 MAX_HOMES_TRIED = 4
 NO_HOME_RETRY_MS = 300
 DEFAULT_TIMEOUT_MS = 30_000
-# Refusals that another home may not give.
-PASSING_REASONS = frozenset(
+# Reasons for refusal that may not apply to another home.
+RETRYABLE_REASONS = frozenset(
     {
         NotRunReason.SHUTTING_DOWN.value,
         NotRunReason.PEER_UNREACHABLE.value,
@@ -47,19 +47,23 @@
         NotRunReason.NO_SERVER.value,
     }
 )
-# Statements that find nothing to do where a transaction is not known.
-ENDINGS = frozenset({StatementKind.ROLLBACK, StatementKind.END_SESSION})
+# Statements that have no effect if the transaction is not open.
+ROLLBACK_KINDS = frozenset({StatementKind.ROLLBACK, StatementKind.END_SESSION})
 
 
 class EntryRouter:
-    """Runs statements on this VM or forwards them.
+    """Runs statements on this VM or forwards them to other home proxies.
 
     Attributes:
+      vm: This VM's name.
       registry: The homes on this VM.
       peer_pool: The streams to other VMs.
       classes: The callers' classes.
-      signer: Signs session tokens.
-      metrics: Counts.
+      signer: Signs and verifies session tokens.
+      metrics: The metrics of this process.
+      clock: Returns the time in seconds on the monotonic clock.
+      pinned: The home proxy of each open transaction, by transaction id.
+      retries: Limits the retries on other homes.
     """
 
     def __init__(
@@ -88,16 +92,16 @@
         Args:
           request: The statement with its options.
         """
-        started = self.clock()
+        started_at = self.clock()
         if request.transaction_id:
-            result = await self._in_transaction(request)
+            result = await self._execute_in_transaction(request)
         else:
-            result = await self._outside(request)
-        self._measure(request, result, started)
+            result = await self._execute_outside_transaction(request)
+        self._record_metrics(request, result, started_at)
         return result
 
     def is_configured(self) -> bool:
-        """Return whether any configuration has been read yet."""
+        """Return whether a configuration has been read."""
         return self.registry.configuration.version > 0
 
     def knows_group(self, group: str) -> bool:
@@ -109,7 +113,7 @@
         return group in self.registry.configuration.groups
 
     def statement_timeout_ms(self, group: str) -> int:
-        """Return the longest that a statement on a group may run.
+        """Return the statement timeout of a group in milliseconds.
 
         Args:
           group: The group's name.
@@ -118,7 +122,7 @@
         return spec.statement_timeout_ms if spec else DEFAULT_TIMEOUT_MS
 
     def branch(self, group: str) -> Branch:
-        """Return the branch of a group's log.
+        """Return the current branch of a group's log.
 
         Args:
           group: The group's name.
@@ -135,7 +139,7 @@
         return self.classes.name_of(user)
 
     def admit(self, user: str) -> NotRun | None:
-        """Count a statement against a caller's limits, or refuse it.
+        """Admit a statement of a caller; return the refusal if it is refused.
 
         Args:
           user: The caller's user name.
@@ -143,7 +147,7 @@
         return self.classes.admit(user)
 
     def finish(self, user: str) -> None:
-        """Count the end of a statement that was admitted.
+        """Record that an admitted statement has finished.
 
         Args:
           user: The caller's user name.
@@ -159,10 +163,10 @@
         return self.signer.sign(token)
 
     def verify(self, text: str) -> SessionToken | InvalidToken:
-        """Return the session token in a signed text.
+        """Return the session token in a signed text if the text is valid.
 
         Args:
-          text: What a caller gave.
+          text: The text that a caller sent.
         """
         return self.signer.verify(text)
 
@@ -174,59 +178,61 @@
         """
         home = self.registry.homes.get(request.group)
         if home is None or (home.retiring and not request.transaction_id):
-            return _no_home("this proxy is no home of the group")
+            return _no_home("this proxy is not a home of the group")
         return await home.group.execute(request)
 
-    async def _outside(self, request: StatementRequest) -> StatementResult:
-        """Run a statement that no transaction ties to a home."""
+    async def _execute_outside_transaction(
+        self, request: StatementRequest
+    ) -> StatementResult:
+        """Run a statement outside a transaction, retrying on other homes."""
         deadline = self.clock() + request.deadline_ms / 1000
         self.retries.record_attempt()
         result: StatementResult | None = None
-        for number, home in enumerate(self._homes(request)):
-            if number and not self.retries.try_withdraw():
+        for attempt_number, home in enumerate(self._candidate_homes(request)):
+            if attempt_number and not self.retries.try_withdraw():
                 break
             attempt = request
-            if number:
+            if attempt_number:
                 remaining_ms = int((deadline - self.clock()) * 1000)
                 if remaining_ms <= 0:
                     break
                 attempt = attrs.evolve(request, deadline_ms=remaining_ms)
-            result = await self._at(home, attempt)
-            if not _may_try_another(result, request):
+            result = await self._execute_at_home(home, attempt)
+            if not _may_retry_elsewhere(result, request):
                 return result
         return result or _no_home("no home proxy is known")
 
-    async def _in_transaction(
+    async def _execute_in_transaction(
         self, request: StatementRequest
     ) -> StatementResult:
         home = self.pinned.get(request.transaction_id)
-        if home is None and request.kind in ENDINGS:
-            return rolled_back_error("it is not open")
+        if home is None and request.kind in ROLLBACK_KINDS:
+            return rolled_back_error("it is not open on this entry proxy")
         if home is None:
-            homes = self._homes(request)
+            homes = self._candidate_homes(request)
             if not homes:
                 return _no_home("no home proxy is known")
             home = homes[0]
         self.pinned[request.transaction_id] = home
-        result = await self._at(home, request)
+        result = await self._execute_at_home(home, request)
         if not result_keeps_transaction(result):
             self.pinned.pop(request.transaction_id, None)
         return result
 
-    def _homes(self, request: StatementRequest) -> list[str]:
-        """Return the group's home proxies in the order to try them."""
+    def _candidate_homes(self, request: StatementRequest) -> list[str]:
+        """Return the group's home proxies in the order of attempts."""
         row = self.registry.configuration.group_rows.get(request.group)
         if row is None:
             return []
         is_home = self.vm in row.writers and self.registry.active(row.group)
-        others = [v for v in writer_names(row.writers) if v != self.vm]
-        if others:
-            start = zlib.crc32(request.session_id.encode()) % len(others)
-            others = others[start:] + others[:start]
-        order = [self.vm, *others] if is_home else others
-        return order[:MAX_HOMES_TRIED]
-
-    async def _at(
+        other_homes = [v for v in writer_names(row.writers) if v != self.vm]
+        if other_homes:
+            start = zlib.crc32(request.session_id.encode()) % len(other_homes)
+            other_homes = other_homes[start:] + other_homes[:start]
+        candidates = [self.vm, *other_homes] if is_home else other_homes
+        return candidates[:MAX_HOMES_TRIED]
+
+    async def _execute_at_home(
         self, home: str, request: StatementRequest
     ) -> StatementResult:
         if home == self.vm:
@@ -240,29 +246,29 @@
             return answer.result
         if isinstance(answer, PeerUnreachable):
             return _unreachable(answer, request)
-        return result_error(Unknown("the home proxy gave no usable answer"))
+        return result_error(Unknown("the home proxy sent an unexpected answer"))
 
-    def _measure(
+    def _record_metrics(
         self,
         request: StatementRequest,
         result: StatementResult,
-        started: float,
+        started_at: float,
     ) -> None:
         group = request.group
         self.metrics.count(metric_names.STATEMENTS, group=group)
-        elapsed = self.clock() - started
+        elapsed = self.clock() - started_at
         self.metrics.timing(metric_names.STATEMENT_TIME, elapsed, group)
         if isinstance(result, ResultError):
-            spec = {
+            metric = {
                 StatementOutcome.NOT_RUN: metric_names.REFUSED,
                 StatementOutcome.FAILED: metric_names.FAILED,
                 StatementOutcome.UNKNOWN: metric_names.UNKNOWN,
             }[result.outcome]
-            self.metrics.count(spec, group=group)
+            self.metrics.count(metric, group=group)
 
 
 def result_keeps_transaction(result: StatementResult) -> bool:
-    """Return whether a transaction goes on after a result.
+    """Return whether a transaction is still open after a result.
 
     Args:
       result: The result of one of its statements.
@@ -270,16 +276,17 @@
     return bool(result.in_transaction)
 
 
-def _may_try_another(
+def _may_retry_elsewhere(
     result: StatementResult, request: StatementRequest
 ) -> bool:
     if not isinstance(result, ResultError):
         return False
     if result.outcome is StatementOutcome.NOT_RUN:
-        return result.reason in PASSING_REASONS
+        return result.reason in RETRYABLE_REASONS
     is_read = request.kind is StatementKind.READ
     in_doubt = result.outcome is StatementOutcome.UNKNOWN
-    # A request id makes a second try find the first one's result.
+    # With a request id, a retry returns the recorded result of the first
+    # attempt if that one was executed.
     is_idempotent = is_read or bool(request.request_id)
     return in_doubt and is_idempotent and request.repeatable
 
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/home_registry.py
@@ -1,4 +1,4 @@
-"""The groups that this VM is a home of."""
+"""The registry of the homes on this VM."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 )
 from jackdawcrank_wire.events import EventKind
 
-MAX_RETIRE_SECONDS = 60.0
+RETIRE_TIMEOUT_SECONDS = 60.0
 
 
 class HomeRegistry:
@@ -31,11 +31,17 @@
 
     Attributes:
       vm: This VM's name.
-      homes: The homes by group, retiring ones included.
+      index: The VMs selected as homes of each group.
+      on_row: Called with each group row that this VM wrote and its version.
+      homes: The homes by group, including retiring homes.
       configuration: The configuration in force.
-      view: The membership as this VM sees it.
-      index: The homes that are chosen for each group.
+      view: This VM's view of the membership.
       leases: The term leases of this VM.
+      initial_rows: The group rows of the first configuration that was
+        applied; None before that.
+      tasks: The running background tasks.
+      changed: Notified when the membership changes, a home retires, work
+        finishes or a peer is lost.
     """
 
     def __init__(
@@ -65,7 +71,7 @@
         self.configuration = Configuration()
         self.view = MembershipView()
         self.leases = LeaseTable(vm)
-        self.first_rows: dict[str, GroupRow] | None = None
+        self.initial_rows: dict[str, GroupRow] | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.changed = Signal()
 
@@ -80,7 +86,7 @@
         self.homes.clear()
 
     def active(self, group: str) -> Home | None:
-        """Return the home of a group, if it may take new statements.
+        """Return the home of a group if it accepts new statements.
 
         Args:
           group: The group's name.
@@ -93,24 +99,24 @@
     def configuration_changed(
         self, configuration: Configuration, changes: tuple[Change, ...]
     ) -> None:
-        """Follow changes of the configuration.
+        """Apply changes of the configuration.
 
         Args:
           configuration: The configuration in force.
-          changes: What changed; empty if everything may have.
+          changes: The changes; empty if anything may have changed.
         """
-        if self.first_rows is None:
-            self.first_rows = dict(configuration.group_rows)
+        if self.initial_rows is None:
+            self.initial_rows = dict(configuration.group_rows)
         earlier = self.configuration
         self.configuration = configuration
-        for group in self._affected(earlier, configuration, changes):
+        for group in self._affected_groups(earlier, configuration, changes):
             self._reconcile(group)
 
     def view_changed(self, view: MembershipView) -> None:
-        """Follow a change of the membership.
+        """Apply a change of the membership.
 
         Args:
-          view: The membership as this VM sees it.
+          view: This VM's view of the membership.
         """
         self.view = view
         self.changed.notify()
@@ -121,18 +127,18 @@
             self._reconcile(group)
 
     def head_read(self, sent_at: float, version: int) -> None:
-        """Renew the term leases.
+        """Renew the term leases after a read of the change log's head.
 
         Args:
-          sent_at: The time before the read was sent, in seconds.
-          version: The version that it returned.
+          sent_at: When the read was sent, in seconds on the monotonic clock.
+          version: The version that the read returned.
         """
         self.leases.renew(sent_at, version)
         for home in self.homes.values():
             home.group.state.hold_term()
 
     def peer_lost(self, vm: str) -> None:
-        """Close the transactions of a lost entry proxy's sessions.
+        """Close the transactions of an unreachable entry proxy's sessions.
 
         Args:
           vm: The VM.
@@ -142,7 +148,7 @@
         self.changed.notify()
 
     def holds_sessions_of(self, vm: str) -> bool:
-        """Return whether sessions of an entry proxy have transactions here.
+        """Return whether an entry proxy has open transactions on this VM.
 
         Args:
           vm: The VM.
@@ -154,33 +160,33 @@
             for transaction in home.group.transactions.open.values()
         )
 
-    async def handed_over(self, timeout_seconds: float) -> bool:
-        """Wait until this VM is a home of nothing; return whether it is.
+    async def wait_until_handed_over(self, timeout_seconds: float) -> bool:
+        """Wait until all homes are handed over; return whether they are.
 
-        Where no other VM is left to take over, it is enough that nothing is
-        in flight.
+        A home is handed over once it is retiring and idle. If no live VM can
+        take over, an idle home is sufficient.
 
         Args:
-          timeout_seconds: The longest that this may take.
+          timeout_seconds: The timeout in seconds.
         """
-        until = self.timer.now() + timeout_seconds
+        deadline = self.timer.now() + timeout_seconds
         while not self._is_handed_over():
-            left = until - self.timer.now()
-            if left <= 0:
+            remaining_seconds = deadline - self.timer.now()
+            if remaining_seconds <= 0:
                 return False
-            await self.changed.wait(left)
+            await self.changed.wait(remaining_seconds)
         return True
 
     def _is_handed_over(self) -> bool:
-        alone = not self.view.live
+        no_live_members = not self.view.live
         homes = self.homes.values()
-        return all(h.idle and (h.retiring or alone) for h in homes)
+        return all(h.idle and (h.retiring or no_live_members) for h in homes)
 
     async def tick(self, now: float) -> None:
-        """Do what time asks for.
+        """Run the periodic work of all homes.
 
         Args:
-          now: The time on the monotonic clock.
+          now: The time in seconds on the monotonic clock.
         """
         for name, home in self.homes.items():
             if home.group.expiry.is_due(now) and home.agent.context.is_acting:
@@ -193,7 +199,7 @@
                     reason="open for too long",
                 )
 
-    def _affected(
+    def _affected_groups(
         self,
         earlier: Configuration,
         configuration: Configuration,
@@ -229,8 +235,8 @@
         self._update(home, spec, chosen, row)
 
     def _was_writer(self, group: str) -> bool:
-        """Return whether a predecessor of this process was a writer."""
-        row = (self.first_rows or {}).get(group)
+        """Return whether an earlier process of this VM was a writer."""
+        row = (self.initial_rows or {}).get(group)
         return row is not None and self.vm in row.writers
 
     def _data_center(self, name: str) -> str:
@@ -296,7 +302,7 @@
         home.agent.homes_changed(chosen, frozenset(self.view.live))
         if row is not None:
             entry = self.configuration.entries[(Kind.GROUP_ROW, spec.name)]
-            self._take_row(home, row, entry.version)
+            self._apply_row(home, row, entry.version)
 
     def _update_agent_servers(
         self, home: Home, servers: tuple[ServerSpec, ...]
@@ -311,7 +317,7 @@
             if known is not controls[name]:
                 home.agent.server_joined(controls[name])
 
-    def _take_row(self, home: Home, row: GroupRow, version: int) -> None:
+    def _apply_row(self, home: Home, row: GroupRow, version: int) -> None:
         held = self.leases.holds(row.group, row.term, self.timer.now())
         home.agent.row_changed(row, version)
         home.group.set_row(row, version)
@@ -334,9 +340,12 @@
             self._spawn(self._close_when_idle(name, home))
 
     async def _close_when_idle(self, name: str, home: Home) -> None:
-        until = self.timer.now() + MAX_RETIRE_SECONDS
-        while not home.idle and (left := until - self.timer.now()) > 0:
-            await self.changed.wait(left)
+        deadline = self.timer.now() + RETIRE_TIMEOUT_SECONDS
+        while (
+            not home.idle
+            and (remaining_seconds := deadline - self.timer.now()) > 0
+        ):
+            await self.changed.wait(remaining_seconds)
             if not home.retiring:
                 return
         if self.homes.get(name) is home:
@@ -345,13 +354,13 @@
         await home.agent.close()
         await home.group.close()
 
-    def _connection_dropped(self, server: str, why: str) -> None:
+    def _connection_dropped(self, server: str, reason: str) -> None:
         self.timeline.record(
-            EventKind.CONNECTION_DROPPED, server=server, reason=why
+            EventKind.CONNECTION_DROPPED, server=server, reason=reason
         )
 
-    def _spawn(self, work: "asyncio.Future[None] | object") -> None:
-        task: asyncio.Task[None] = asyncio.ensure_future(work)  # type: ignore[arg-type]
+    def _spawn(self, awaitable: "asyncio.Future[None] | object") -> None:
+        task: asyncio.Task[None] = asyncio.ensure_future(awaitable)  # type: ignore[arg-type]
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -359,7 +368,7 @@
 def _groups_of(
     change: Change, earlier: Configuration, configuration: Configuration
 ) -> set[str]:
-    """Return the groups that a change concerns."""
+    """Return the groups that a change affects."""
     if change.kind in (Kind.DATABASE_GROUP, Kind.GROUP_ROW):
         return {change.name}
     servers = (
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/operator_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/operator_service.py
@@ -1,4 +1,4 @@
-"""What the resource API may ask of this process."""
+"""The operations of this process that the operator API uses."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any
@@ -28,22 +28,22 @@
     StatementRequest,
 )
 
-LOOK_UP_DEADLINE_MS = 5_000
-RETRY_AFTER_MS = 1_000
+REQUEST_LOOKUP_DEADLINE_MS = 5_000
+PROMOTION_RETRY_AFTER_MS = 1_000
 
 
 class OperatorService:
-    """The operator's side of the process.
+    """Implements the operator API's status queries and actions.
 
     Attributes:
       vm: This VM's name.
-      store: The store.
-      change_log: Writes changes.
-      follower: The configuration in force.
+      store: The client of the store.
+      change_log: Writes changes of the configuration.
+      follower: Maintains the configuration in force.
       timeline: The events of this process.
       registry: The homes on this VM.
-      router: Runs statements.
-      is_ready: Tells whether callers should be sent here.
+      router: Routes statements.
+      is_ready: Returns whether callers should be sent to this VM.
       drain: Begins the graceful shutdown.
     """
 
@@ -78,7 +78,7 @@
         return self.registry.view
 
     def status(self) -> Mapping[str, Any]:
-        """Return the process's state as JSON values."""
+        """Return the state of the process as JSON values."""
         view = self.registry.view
         return {
             "live": list(view.live),
@@ -90,11 +90,11 @@
         }
 
     def resource_status(self, kind: str, name: str) -> Mapping[str, Any]:
-        """Return what this VM knows of a resource; empty if nothing.
+        """Return the status of a resource as JSON values; empty if unknown.
 
         Args:
           kind: The resource's kind.
-          name: Its name.
+          name: The resource's name.
         """
         if kind == "DatabaseGroup":
             return self._group_status(name)
@@ -105,17 +105,17 @@
     async def promote(
         self, group: str, server: str | None, actor: str, force: bool = False
     ) -> ActionOutcome:
-        """Move a group's primary.
+        """Promote a server of a group to primary.
 
         Args:
           group: The database group.
-          server: The new primary; None leaves the choice to the system.
-          actor: Who asked.
-          force: Whether to do so with too few servers in reach.
+          server: The new primary; None to have one selected automatically.
+          actor: The operator who requested it.
+          force: Whether to promote even if too few servers are reachable.
         """
         home = self.registry.active(group)
         if home is None:
-            return self._elsewhere(group)
+            return self._not_active_home(group)
         self.timeline.record(
             EventKind.PROMOTION_REQUESTED,
             group=group,
@@ -124,20 +124,20 @@
             force=force,
         )
         agent = home.agent
-        move = agent.force_promote if force else agent.switch_over
-        outcome = await move(server)
+        promotion_method = agent.force_promote if force else agent.switch_over
+        outcome = await promotion_method(server)
         if isinstance(outcome, Moved):
             row = outcome.row
             return ActionDone({"primary": row.primary, "term": row.term})
         if isinstance(outcome, Incomplete):
-            return ActionRefused(str(outcome.reason), RETRY_AFTER_MS)
+            return ActionRefused(str(outcome.reason), PROMOTION_RETRY_AFTER_MS)
         return ActionRefused(outcome.reason)
 
     async def drain_self(self, actor: str) -> ActionOutcome:
         """Begin the graceful shutdown of this VM.
 
         Args:
-          actor: Who asked.
+          actor: The operator who requested it.
         """
         await self.drain(actor)
         return ActionDone({"vm": self.vm})
@@ -145,17 +145,17 @@
     async def request_outcome(
         self, group: str, request_id: str
     ) -> Mapping[str, Any] | None:
-        """Return what became of a request; None if nothing is known.
+        """Return the recorded outcome of a request; None if unknown.
 
         Args:
           group: The database group.
-          request_id: The caller's id of the request.
+          request_id: The request id that the caller set.
         """
         request = StatementRequest(
             group,
             b"",
             request_id=request_id,
-            deadline_ms=LOOK_UP_DEADLINE_MS,
+            deadline_ms=REQUEST_LOOKUP_DEADLINE_MS,
             kind=StatementKind.SHOW_REQUEST,
         )
         result = await self.router.execute(request)
@@ -165,13 +165,13 @@
         values = [(value or b"").decode() for value in result.rows[0]]
         return dict(zip(names, values, strict=True))
 
-    def _elsewhere(self, group: str) -> ActionOutcome:
+    def _not_active_home(self, group: str) -> ActionOutcome:
         if group not in self.registry.configuration.groups:
             return TargetNotFound(f"no database group {group!r} is declared")
         row = self.registry.configuration.group_rows.get(group)
         homes = ", ".join(writer_names(row.writers)) if row else "none yet"
         return ActionRefused(
-            f"{self.vm} is no home of {group}; ask one of: {homes}"
+            f"{self.vm} is not a home of {group}; its homes are: {homes}"
         )
 
     def _home_status(self, home: Home) -> Mapping[str, Any]:
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/peer_service.py
@@ -1,4 +1,4 @@
-"""Answers what other proxies send."""
+"""Handlers for the messages of other proxies."""
 
 from jackdawcrank.config import (
     ConfigurationFollower,
@@ -9,7 +9,7 @@
 from jackdawcrank.membership import MembershipTracker
 from jackdawcrank.peers import PeerHandlers, PeerStreamPool
 from jackdawcrank.process.entry_router import EntryRouter
-from jackdawcrank.process.group_peers import answer_from
+from jackdawcrank.process.group_peers import answer_from_evidence
 from jackdawcrank.process.home_registry import HomeRegistry
 from jackdawcrank_wire.messages import (
     Answer,
@@ -25,8 +25,8 @@
     Leaving,
 )
 
-LEARN_SECONDS = 1.0
-PEERS_ASKED = 3
+PEER_READ_TIMEOUT_SECONDS = 1.0
+PEER_READ_FANOUT = 3
 
 
 class PeerService:
@@ -35,8 +35,8 @@
     Attributes:
       registry: The homes on this VM.
       router: Runs forwarded statements.
-      follower: The configuration in force.
-      tracker: The membership.
+      follower: Maintains the configuration in force.
+      tracker: Tracks the membership.
       peer_pool: The streams to other VMs.
     """
 
@@ -55,10 +55,10 @@
         self.peer_pool = peer_pool
 
     def register(self, handlers: PeerHandlers) -> None:
-        """Set the handlers.
+        """Register a handler for each message type.
 
         Args:
-          handlers: The handlers of the streams.
+          handlers: The message handlers of the streams.
         """
         handlers.register(Execute, self.execute)
         handlers.register(GiveUpLease, self.give_up_lease)
@@ -76,7 +76,7 @@
     async def give_up_lease(
         self, vm: str, message: GiveUpLease
     ) -> LeaseGivenUp | None:
-        """Give up a term lease for a promotion."""
+        """Give up the leases below a claimed term for a promotion."""
         self.tracker.heard(vm)
         home = self.registry.homes.get(message.group)
         if home is not None:
@@ -91,17 +91,17 @@
     async def ask_evidence(
         self, vm: str, message: AskEvidence
     ) -> EvidenceAnswer:
-        """Tell what this VM has seen of a group's primary."""
+        """Return this VM's evidence on a group's primary."""
         self.tracker.heard(vm)
         home = self.registry.homes.get(message.group)
         if home is None:
             return EvidenceAnswer(0, message.group)
-        return answer_from(await home.agent.suspicion_asked())
+        return answer_from_evidence(await home.agent.suspicion_asked())
 
     async def changes_request(
         self, vm: str, message: ChangesRequest
     ) -> ChangesAnswer:
-        """Pass on configuration changes that the peer lacks."""
+        """Return configuration changes that the peer lacks."""
         self.tracker.heard(vm)
         first, records = peer_records(
             self.follower.state, message.after, message.limit
@@ -109,36 +109,36 @@
         return ChangesAnswer(0, first, records, self.follower.version)
 
     async def config_version(self, vm: str, message: ConfigVersion) -> None:
-        """Read the change log at once if a peer is ahead."""
+        """Read the change log immediately if a peer has a newer version."""
         self.tracker.heard(vm)
         await self.follower.handle_peer_version(message.version)
 
     async def hello(self, vm: str, message: Hello) -> None:
-        """Take in a peer's start of a stream."""
+        """Record the boot id and version that a peer sent on a new stream."""
         self.tracker.heard(vm, boot=message.boot)
         await self.follower.handle_peer_version(message.config_version)
 
     async def leaving(self, vm: str, message: Leaving) -> None:
-        """Take in that a peer is shutting down."""
+        """Record that a peer is shutting down."""
         self.tracker.announced_leaving(message.vm)
 
     async def read_from_peers(self, version: int) -> list[PeerUpdate]:
-        """Ask some peers for the changes above a version.
+        """Return the changes after a version, as read from a few peers.
 
         Args:
-          version: The version in force here.
+          version: The version in force on this VM.
         """
-        connected = self.peer_pool.connected() or sorted(
-            self.peer_pool.addresses
-        )
-        learned: list[PeerUpdate] = []
-        for vm in connected[:PEERS_ASKED]:
+        peers = self.peer_pool.connected() or sorted(self.peer_pool.addresses)
+        updates: list[PeerUpdate] = []
+        for vm in peers[:PEER_READ_FANOUT]:
             answer = await self.peer_pool.request(
-                vm, ChangesRequest(0, version), LEARN_SECONDS
+                vm, ChangesRequest(0, version), PEER_READ_TIMEOUT_SECONDS
             )
             if isinstance(answer, ChangesAnswer):
-                found = [
+                decoded = [
                     decode_peer_record(record) for record in answer.changes
                 ]
-                learned.extend(item for item in found if item is not None)
-        return learned
+                updates.extend(
+                    update for update in decoded if update is not None
+                )
+        return updates
--- a/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
+++ b/packages/jackdawcrank-proxy/src/jackdawcrank/process/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy process."""
+"""The proxy process of one entry VM."""
 
 import asyncio
 import hashlib
@@ -34,26 +34,30 @@
 from jackdawcrank_wire.messages import ConfigVersion, Leaving
 from jackdawcrank_wire.settings import Settings
 
-TICK_SECONDS = 0.25
-METRICS_SECONDS = 10.0
-LISTING_SECONDS = 1.0
-HAND_OVER_SECONDS = 10.0
+HOME_TICK_SECONDS = 0.25
+METRICS_FLUSH_SECONDS = 10.0
+LISTING_CHECK_SECONDS = 1.0
+HANDOVER_TIMEOUT_SECONDS = 10.0
 BOOT_ID_BYTES = 4
-# Each of them tells as many again.
-PEERS_TOLD_OF_VERSION = 8
+# Each notified peer notifies the same number of peers in turn.
+VERSION_GOSSIP_FANOUT = 8
 
 
 class Proxy:
-    """Everything that runs on one entry VM.
+    """Creates, starts and stops the components of the proxy process.
 
     Attributes:
       settings: The settings.
-      boot: The id of this process.
-      timeline: The events of this process.
+      boot: The boot id of this process.
+      timeline: Records the events of this process.
       registry: The homes on this VM.
-      front: Listens for callers.
-      peer_server: Listens for other proxies.
-      api: Listens for operators.
+      front: The server for callers.
+      peer_server: The server for other proxies.
+      api: The server for operators.
+      listed_live: Whether the platform has listed this VM as live since this
+        process started.
+      ready: Whether startup has finished and shutdown has not begun.
+      draining: The task of the graceful shutdown; None before it begins.
       stopped: Set once the process has shut down.
     """
 
@@ -109,7 +113,7 @@
         self.stopped = asyncio.Event()
 
     async def start(self) -> None:
-        """Start every part; callers are served once this returns."""
+        """Start all components; callers are served once this returns."""
         self.timeline.record(EventKind.VM_STARTED)
         await self.metrics.start()
         await self.store.start()
@@ -125,28 +129,32 @@
         await self.tracker.start()
         self._view_changed(self.tracker.view)
         await self.front.start()
-        self.timer.subscribe("homes", TICK_SECONDS, self.registry.tick)
-        self.timer.subscribe("listing", LISTING_SECONDS, self._check_listing)
-        self.timer.subscribe("metrics", METRICS_SECONDS, self._flush_metrics)
+        self.timer.subscribe("homes", HOME_TICK_SECONDS, self.registry.tick)
+        self.timer.subscribe(
+            "listing", LISTING_CHECK_SECONDS, self._check_listing
+        )
+        self.timer.subscribe(
+            "metrics", METRICS_FLUSH_SECONDS, self._flush_metrics
+        )
         self.ready = True
         self.timeline.record(EventKind.VM_READY)
 
     async def drain(self, actor: str = "") -> None:
-        """Begin the graceful shutdown; `stopped` is set at its end.
+        """Begin the graceful shutdown; `stopped` is set when it ends.
 
         Args:
-          actor: Who asked for it.
+          actor: The operator or system that requested it.
         """
         if self.draining is None:
             self.timeline.record(EventKind.VM_LEAVING, actor=actor)
             self.draining = asyncio.create_task(self._drain())
 
     async def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately, without a graceful shutdown."""
         if self.draining is not None and not self.draining.done():
             self.draining.cancel()
             await asyncio.gather(self.draining, return_exceptions=True)
-        await self._close_parts()
+        await self._close_components()
 
     async def _drain(self) -> None:
         self.ready = False
@@ -156,10 +164,10 @@
         limit = self.settings.shutdown_timeout_seconds
         cut = await self.front.drain(limit)
         self.timeline.record(EventKind.CALLERS_CLOSED, cut=cut)
-        await self.registry.handed_over(HAND_OVER_SECONDS)
-        await self._close_parts()
+        await self.registry.wait_until_handed_over(HANDOVER_TIMEOUT_SECONDS)
+        await self._close_components()
 
-    async def _close_parts(self) -> None:
+    async def _close_components(self) -> None:
         if self.stopped.is_set():
             return
         self.ready = False
@@ -197,7 +205,7 @@
         )
 
     def _make_router(self) -> EntryRouter:
-        keys = tuple(_derived_key(key) for key in self.settings.token_keys)
+        keys = tuple(_derive_key(key) for key in self.settings.token_keys)
         return EntryRouter(
             self.settings.vm,
             self.registry,
@@ -214,7 +222,7 @@
             self.timer,
             on_change=self._configuration_changed,
             on_head_read=self.registry.head_read,
-            on_store_availability=self._store_changed,
+            on_store_availability=self._store_availability_changed,
             interval_seconds=self.settings.head_read_seconds,
             rng=self.rng,
         )
@@ -253,7 +261,7 @@
 
     def _make_tracker(self) -> MembershipTracker:
         settings = self.settings
-        own = Vm(
+        own_vm = Vm(
             settings.vm,
             settings.host,
             self.peer_server.port,
@@ -264,7 +272,7 @@
         return MembershipTracker(
             self.store,
             self.timer,
-            own,
+            own_vm,
             self.boot,
             self._view_changed,
             self.rng,
@@ -279,11 +287,15 @@
 
     def _is_ready(self) -> bool:
         """Return whether callers should be sent to this VM."""
-        known = self.follower.version > 0 or self.follower.store_available
-        return self.ready and known
+        has_configuration = (
+            self.follower.version > 0 or self.follower.store_available
+        )
+        return self.ready and has_configuration
 
-    def _store_changed(self, answers: bool) -> None:
-        kind = EventKind.STORE_RECOVERED if answers else EventKind.STORE_OUTAGE
+    def _store_availability_changed(self, available: bool) -> None:
+        kind = (
+            EventKind.STORE_RECOVERED if available else EventKind.STORE_OUTAGE
+        )
         self.timeline.record(kind)
 
     def _configuration_changed(
@@ -293,7 +305,7 @@
         self.registry.configuration_changed(configuration, changes)
         self.peer_pool.config_version = configuration.version
         self.peer_pool.broadcast(
-            ConfigVersion(configuration.version), PEERS_TOLD_OF_VERSION
+            ConfigVersion(configuration.version), VERSION_GOSSIP_FANOUT
         )
         self.timeline.record(
             EventKind.CONFIG_APPLIED, config_version=configuration.version
@@ -311,7 +323,7 @@
         logging.info("members live=%s leaving=%s", view.live, view.leaving)
 
     def _row_written(self, row: GroupRow, version: int) -> None:
-        """Apply a row that this VM wrote without waiting for the timer."""
+        """Read a row that this VM wrote without waiting for the next poll."""
         task = asyncio.ensure_future(self.follower.handle_peer_version(version))
         self.registry.tasks.add(task)
         task.add_done_callback(self.registry.tasks.discard)
@@ -323,16 +335,17 @@
             self.tracker.stream_failed(vm)
 
     def _is_monitored(self, vm: str) -> bool:
-        """Return whether a transaction ties this VM and a peer together."""
+        """Return whether an open transaction involves this VM and a peer."""
         if self.registry.holds_sessions_of(vm):
             return True
         return vm in self.router.pinned.values()
 
     async def _check_listing(self, now: float) -> None:
-        """Shut down once the platform lists this VM as leaving.
+        """Begin the shutdown once the platform lists this VM as leaving.
 
-        An older process of this name may have been listed so, hence the VM
-        must have been listed as live since this one started.
+        The listing may still refer to an earlier process of this VM.
+        Therefore it only counts after the VM has been listed as live since
+        this process started.
         """
         if self.tracker is None:
             return
@@ -350,5 +363,5 @@
         await self.metrics.flush(now)
 
 
-def _derived_key(key: str) -> bytes:
+def _derive_key(key: str) -> bytes:
     return hashlib.sha256(key.encode()).digest()
