--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/explain.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/explain.py
@@ -24,13 +24,13 @@
     """Print what led to the answer of REQUEST, and the cause."""
     chain = find_chain(read_lines(itertools.chain(*logs)), request)
     for line in chain.in_order():
-        click.echo(written(line))
+        click.echo(format_line(line))
     click.echo(f"cause: {cause(chain)}")
-    if not chain.own:
+    if not chain.request_lines:
         raise CommandFailed(f"no line names {request}", ExitCode.NOT_FOUND)
 
 
-def written(line: LogLine) -> str:
+def format_line(line: LogLine) -> str:
     """Return a line for people.
 
     Args:
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/cause.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/cause.py
@@ -23,25 +23,25 @@
     Args:
       chain: What the logs hold about it.
     """
-    if not chain.own:
+    if not chain.request_lines:
         return (
             "No line names this request: its line was dropped under load, the "
             "process died first, or the logs do not cover it."
         )
-    last = chain.own[-1]
+    last = chain.request_lines[-1]
     outcome = last.text("outcome")
     if outcome == "done":
         return f"It was answered in {last.text('ms')} ms."
     if last.event == "idle_transaction_ended":
         return "Its caller rested in a transaction for too long."
     if last.event in ("commit_in_doubt", "transaction_lost"):
-        return lost(chain, last)
+        return explain_transaction_failure(chain, last)
     if outcome == "in_doubt":
-        return in_doubt(chain, last)
-    return refused(chain, last)
+        return explain_doubtful_write(chain, last)
+    return explain_refusal(chain, last)
 
 
-def lost(chain: Chain, last: LogLine) -> str:
+def explain_transaction_failure(chain: Chain, last: LogLine) -> str:
     """Return why a statement of a transaction had no answer."""
     how = (
         f"gave no answer for {last.text('waited')} s"
@@ -53,51 +53,55 @@
         if last.event == "commit_in_doubt"
         else "The transaction was rolled back"
     )
-    return f"{what}: server {last.text('server')} {how}{change(chain)}."
+    return (
+        f"{what}: server {last.text('server')} {how}{failover_clause(chain)}."
+    )
 
 
-def in_doubt(chain: Chain, last: LogLine) -> str:
+def explain_doubtful_write(chain: Chain, last: LogLine) -> str:
     """Return why a write is in doubt."""
     return (
         f"The write may stand or not: server {last.text('server')} gave no "
-        f"answer ({last.text('reason')}){change(chain)}."
+        f"answer ({last.text('reason')}){failover_clause(chain)}."
     )
 
 
-def refused(chain: Chain, last: LogLine) -> str:
+def explain_refusal(chain: Chain, last: LogLine) -> str:
     """Return why a statement was refused."""
     reason = last.text("reason")
     if reason.startswith("no primary"):
-        return no_primary(chain)
+        return explain_missing_primary(chain)
     text = BY_REASON.get(reason, reason or last.text("outcome"))
     text = text.format(
         server=last.text("server") or "of the group",
         needed=last.text("needed"),
     )
-    return f"It was refused, and nothing is kept: {text}{change(chain)}."
+    return (
+        f"It was refused, and nothing is kept: {text}{failover_clause(chain)}."
+    )
 
 
-def no_primary(chain: Chain) -> str:
+def explain_missing_primary(chain: Chain) -> str:
     """Return why there was no primary to send a statement to."""
     contact = [
         line.event
-        for line in chain.before
+        for line in chain.context_lines
         if line.event in ("store_lost", "store_regained")
     ]
     if contact and contact[-1] == "store_lost":
         return (
             "It was refused at once: the proxy reached neither a primary nor "
-            f"the store{change(chain)}."
+            f"the store{failover_clause(chain)}."
         )
     return (
         "It was refused after its time: the group had no primary"
-        f"{change(chain)}."
+        f"{failover_clause(chain)}."
     )
 
 
-def change(chain: Chain) -> str:
+def failover_clause(chain: Chain) -> str:
     """Return the change of primary around a request, as a clause."""
-    for line in reversed(chain.before):
+    for line in reversed(chain.context_lines):
         if line.event == "replacing_primary":
             old = line.text("old") or "of the group"
             return (
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/chain.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/chain.py
@@ -9,7 +9,7 @@
 # What a process believed shortly before counts: the longest statement of our
 # users takes 3 s, and a change of primary is over in 7 s.
 LOOK_BACK_SECONDS = 7.0
-BELIEFS = frozenset(
+CONTEXT_EVENTS = frozenset(
     {
         "claim_failed",
         "configuration_in_force",
@@ -40,17 +40,19 @@
 
     Attributes:
       request: The request's id.
-      own: The lines that name it, in order.
-      before: What its processes believed before it ended, in order.
+      request_lines: The lines that name it, in order.
+      context_lines: What its processes believed before it ended, in order.
     """
 
     request: str
-    own: tuple[LogLine, ...]
-    before: tuple[LogLine, ...]
+    request_lines: tuple[LogLine, ...]
+    context_lines: tuple[LogLine, ...]
 
     def in_order(self) -> list[LogLine]:
         """Return all lines in the order of their times."""
-        return sorted([*self.own, *self.before], key=lambda line: line.at)
+        return sorted(
+            [*self.request_lines, *self.context_lines], key=lambda line: line.at
+        )
 
 
 def find_chain(lines: Iterable[LogLine], request: str) -> Chain:
@@ -64,31 +66,33 @@
       request: The request's id.
     """
     known = list(lines)
-    own = [line for line in known if line.fields.get("request") == request]
-    own.sort(key=lambda line: line.at)
-    if not own:
+    request_lines = [
+        line for line in known if line.fields.get("request") == request
+    ]
+    request_lines.sort(key=lambda line: line.at)
+    if not request_lines:
         return Chain(request, (), ())
-    last = own[-1]
-    vms = {line.vm for line in own}
-    groups = {line.text("group") for line in own} - {""}
-    servers = {line.text("server") for line in own} - {""}
+    last = request_lines[-1]
+    vms = {line.vm for line in request_lines}
+    groups = {line.text("group") for line in request_lines} - {""}
+    servers = {line.text("server") for line in request_lines} - {""}
     groups |= {
         line.text("group")
         for line in known
         if line.text("server") in servers and line.text("group")
     }
-    before = [
+    context_lines = [
         line
         for line in known
-        if line.event in BELIEFS
+        if line.event in CONTEXT_EVENTS
         and last.at - LOOK_BACK_SECONDS <= line.at <= last.at
-        and concerns(line, vms, groups)
+        and is_relevant(line, vms, groups)
     ]
-    before.sort(key=lambda line: line.at)
-    return Chain(request, tuple(own), tuple(before))
+    context_lines.sort(key=lambda line: line.at)
+    return Chain(request, tuple(request_lines), tuple(context_lines))
 
 
-def concerns(line: LogLine, vms: set[str], groups: set[str]) -> bool:
+def is_relevant(line: LogLine, vms: set[str], groups: set[str]) -> bool:
     """Return whether a belief bears on a request.
 
     Args:
