--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/client.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/client.py
@@ -16,10 +16,10 @@
 
 ATTEMPTS = 3
 RETRY_SECONDS = 0.5
-ERROR = 400
+MIN_ERROR_STATUS = 400
 UNAVAILABLE = 503
 MAX_LINE_BYTES = 1024 * 1024
-LOST = (aiohttp.ClientError, OSError, asyncio.TimeoutError)
+CONNECTION_ERRORS = (aiohttp.ClientError, OSError, asyncio.TimeoutError)
 
 
 @attrs.frozen
@@ -37,7 +37,7 @@
     @property
     def is_error(self) -> bool:
         """Return whether the request was refused or failed."""
-        return self.status >= ERROR
+        return self.status >= MIN_ERROR_STATUS
 
 
 class Client:
@@ -85,7 +85,7 @@
         Raises:
           CommandFailed: No proxy answered.
         """
-        lost = ""
+        last_error = ""
         answer = None
         for attempt in range(ATTEMPTS):
             if attempt:
@@ -95,15 +95,17 @@
                     answer = await self.send(
                         method, server + path, body, headers
                     )
-                except LOST as error:
-                    lost = f"{server}: {type(error).__name__} {error}".strip()
+                except CONNECTION_ERRORS as error:
+                    last_error = (
+                        f"{server}: {type(error).__name__} {error}".strip()
+                    )
                     continue
                 if answer.status != UNAVAILABLE:
                     return answer
         if answer is not None:
             return answer
         raise CommandFailed(
-            f"no proxy answered; {lost}\n"
+            f"no proxy answered; {last_error}\n"
             "What to do: check --server and that the proxy runs",
             ExitCode.UNAVAILABLE,
         )
@@ -117,12 +119,12 @@
     ) -> Answer:
         """Send a request to one proxy."""
         assert self.session is not None, "the client is not open"
-        limit = aiohttp.ClientTimeout(total=self.config.timeout)
+        client_timeout = aiohttp.ClientTimeout(total=self.config.timeout)
         async with self.session.request(
-            method, url, json=body, headers=headers, timeout=limit
+            method, url, json=body, headers=headers, timeout=client_timeout
         ) as response:
             text = await response.text()
-            return Answer(response.status, decoded(text))
+            return Answer(response.status, parse_json(text))
 
     async def call(
         self,
@@ -149,16 +151,16 @@
           aiohttp.ClientError: The connection broke.
         """
         assert self.session is not None, "the client is not open"
-        limit = aiohttp.ClientTimeout(sock_connect=self.config.timeout)
-        async with self.session.get(url, timeout=limit) as response:
-            if response.status >= ERROR:
+        client_timeout = aiohttp.ClientTimeout(sock_connect=self.config.timeout)
+        async with self.session.get(url, timeout=client_timeout) as response:
+            if response.status >= MIN_ERROR_STATUS:
                 text = await response.text()
-                raise failure_from(response.status, decoded(text))
+                raise failure_from(response.status, parse_json(text))
             async for line in response.content:
                 yield line.decode()
 
 
-def decoded(text: str) -> Any:
+def parse_json(text: str) -> Any:
     """Return the JSON value of a text; an error object if it is none."""
     try:
         return json.loads(text)
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/actions.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/actions.py
@@ -44,12 +44,12 @@
       CommandFailed: The name stands for nothing, or for two things.
     """
     if kind is None:
-        kind = await kind_of(client, name)
+        kind = await resolve_kind(client, name)
     path = f"/v1/{kind}s/{name}/drain"
     return kind, await client.call("POST", path)
 
 
-async def kind_of(client: Client, name: str) -> str:
+async def resolve_kind(client: Client, name: str) -> str:
     """Return whether a name is that of a VM or of a server.
 
     Raises:
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/apply.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/apply.py
@@ -16,7 +16,7 @@
 from jackdawcrank_cli.plan import Action, Step, make_plan, read_present
 from jackdawcrank_wire.resources import resource_document
 
-DONE = {
+ACTION_RESULTS = {
     Action.CREATE: "created",
     Action.CHANGE: "changed",
     Action.DELETE: "deleted",
@@ -40,8 +40,8 @@
     failures = run(config, lambda c: apply_all(c, declared, prune))
     if failures:
         worst = max(failures, key=lambda answer: answer.status)
-        count = f"{len(failures)} of the resources could not be applied"
-        raise CommandFailed(count, code_of_status(worst.status))
+        message = f"{len(failures)} of the resources could not be applied"
+        raise CommandFailed(message, code_of_status(worst.status))
 
 
 async def apply_all(
@@ -86,7 +86,9 @@
         click.echo(f"{source}: {error_text(answer.status, error)}", err=True)
     else:
         version = answer.document["resourceVersion"]
-        click.echo(f"{label} {DONE[step.action]} at version {version}")
+        click.echo(
+            f"{label} {ACTION_RESULTS[step.action]} at version {version}"
+        )
 
 
 def result_document(step: Step, answer: Answer | None) -> dict[str, Any]:
@@ -94,7 +96,7 @@
     document: dict[str, Any] = {
         "kind": step.kind,
         "name": step.name,
-        "result": DONE[step.action],
+        "result": ACTION_RESULTS[step.action],
         "resourceVersion": step.version,
         "exitCode": int(ExitCode.OK),
     }
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/diff.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/diff.py
@@ -14,7 +14,7 @@
 from jackdawcrank_cli.output import cell, print_json
 from jackdawcrank_cli.plan import Action, Step, make_plan, read_present
 
-WORDS = {
+ACTION_DESCRIPTIONS = {
     Action.CREATE: "is declared but not in force",
     Action.CHANGE: "differs",
     Action.DELETE: "is in force but not declared",
@@ -45,7 +45,7 @@
 
 def print_step(step: Step) -> None:
     """Print one difference."""
-    click.echo(f"{step.kind} {step.name} {WORDS[step.action]}")
+    click.echo(f"{step.kind} {step.name} {ACTION_DESCRIPTIONS[step.action]}")
     for item in step.differences:
         present, declared = cell(item.present), cell(item.declared)
         click.echo(f"  {item.path}: {present} -> {declared}")
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/status.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/status.py
@@ -9,7 +9,7 @@
 from jackdawcrank_cli.config import CliConfig
 from jackdawcrank_cli.output import print_json, print_nested, print_table
 
-SHOWN_ELSEWHERE = ("vms", "groups")
+TABLE_KEYS = ("vms", "groups")
 
 
 @click.command()
@@ -20,7 +20,7 @@
     if config.output == "json":
         print_json(answer)
         return
-    print_nested({k: v for k, v in answer.items() if k not in SHOWN_ELSEWHERE})
+    print_nested({k: v for k, v in answer.items() if k not in TABLE_KEYS})
     click.echo()
     headings = ("VM", "STATE", "REGION", "DATA-CENTER", "OPERATORS")
     print_table(headings, [vm_cells(vm) for vm in answer["vms"]])
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/timeline.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/timeline.py
@@ -11,7 +11,7 @@
 import attrs
 import click
 
-from jackdawcrank_cli.client import LOST, Client
+from jackdawcrank_cli.client import CONNECTION_ERRORS, Client
 from jackdawcrank_cli.commands.run import run
 from jackdawcrank_cli.config import CliConfig
 from jackdawcrank_cli.exit_codes import ExitCode
@@ -25,7 +25,7 @@
     to_trace_events,
 )
 
-HOLD_SECONDS = 0.5
+REORDER_DELAY_SECONDS = 0.5
 UNITS = {"s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
 
 
@@ -140,7 +140,9 @@
         path.write_text(text, encoding="utf-8")
 
 
-async def sources(client: Client, selection: Selection) -> dict[str, str]:
+async def select_vm_urls(
+    client: Client, selection: Selection
+) -> dict[str, str]:
     """Return the URL of each wanted VM's API.
 
     Raises:
@@ -163,25 +165,27 @@
 
 async def gather(client: Client, selection: Selection) -> list[TimelineEvent]:
     """Return the events of all VMs that answer, in one order."""
-    urls = await sources(client, selection)
+    urls = await select_vm_urls(client, selection)
     query = selection.query(follow=False)
     parts = await asyncio.gather(
         *(
-            read(client, name, f"{url}/v1/timeline?{query}")
+            fetch_events(client, name, f"{url}/v1/timeline?{query}")
             for name, url in urls.items()
         )
     )
     return merge_events(event for part in parts for event in part)
 
 
-async def read(client: Client, vm: str, url: str) -> list[TimelineEvent]:
+async def fetch_events(
+    client: Client, vm: str, url: str
+) -> list[TimelineEvent]:
     """Return the events of one VM; none, with a warning, if it is silent."""
     events: list[TimelineEvent] = []
     try:
         async with asyncio.timeout(client.config.timeout):
             async for line in client.lines(url):
                 add_event(events, line)
-    except LOST as error:
+    except CONNECTION_ERRORS as error:
         warn_missing(vm, error)
     return events
 
@@ -190,30 +194,30 @@
     client: Client, selection: Selection, as_json: bool
 ) -> None:
     """Print events as they come, held back a little to put them in order."""
-    urls = await sources(client, selection)
+    urls = await select_vm_urls(client, selection)
     query = selection.query(follow=True)
-    waiting: list[TimelineEvent] = []
+    pending: list[TimelineEvent] = []
     readers = [
         asyncio.create_task(
-            collect(client, name, f"{url}/v1/timeline?{query}", waiting)
+            collect(client, name, f"{url}/v1/timeline?{query}", pending)
         )
         for name, url in urls.items()
     ]
-    while waiting or not all(reader.done() for reader in readers):
-        await asyncio.sleep(HOLD_SECONDS)
-        ready, waiting[:] = list(waiting), []
+    while pending or not all(reader.done() for reader in readers):
+        await asyncio.sleep(REORDER_DELAY_SECONDS)
+        ready, pending[:] = list(pending), []
         form = "json" if as_json else "table"
         click.echo(render(merge_events(ready), None, form), nl=False)
 
 
 async def collect(
-    client: Client, vm: str, url: str, waiting: list[TimelineEvent]
+    client: Client, vm: str, url: str, pending: list[TimelineEvent]
 ) -> None:
     """Add the events of one VM to a list until its stream ends."""
     try:
         async for line in client.lines(url):
-            add_event(waiting, line)
-    except LOST as error:
+            add_event(pending, line)
+    except CONNECTION_ERRORS as error:
         warn_missing(vm, error)
 
 
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/watch.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/watch.py
@@ -8,7 +8,7 @@
 
 import click
 
-from jackdawcrank_cli.client import LOST, Client
+from jackdawcrank_cli.client import CONNECTION_ERRORS, Client
 from jackdawcrank_cli.commands.run import run
 from jackdawcrank_cli.config import CliConfig
 from jackdawcrank_cli.exit_codes import ExitCode
@@ -51,7 +51,7 @@
     async def follow(client: Client) -> None:
         shown = 0
         async for change in changes(client, version):
-            if not wanted(change, kind, name):
+            if not matches_filter(change, kind, name):
                 continue
             print_change(change, config.output)
             shown += 1
@@ -79,10 +79,10 @@
                 failures = 0
                 if change["version"] <= version:
                     continue
-                check_next(change["version"], version)
+                check_consecutive(change["version"], version)
                 version = change["version"]
                 yield change
-        except (*LOST, ValueError) as error:
+        except (*CONNECTION_ERRORS, ValueError) as error:
             failures += 1
             if failures >= MAX_FAILURES:
                 message = f"{server}: the watch was lost; {error}"
@@ -90,7 +90,7 @@
         await asyncio.sleep(RECONNECT_SECONDS)
 
 
-def check_next(version: int, last: int) -> None:
+def check_consecutive(version: int, last: int) -> None:
     """Make sure that no change is missing.
 
     Raises:
@@ -101,7 +101,7 @@
         raise CommandFailed(message, ExitCode.GONE)
 
 
-def wanted(
+def matches_filter(
     change: Mapping[str, Any], kind: Kind | None, name: str | None
 ) -> bool:
     """Return whether a change is one of those asked for."""
@@ -116,9 +116,9 @@
         click.echo(json.dumps(change, separators=(",", ":")))
         return
     at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(change["at"]))
-    what = "deleted" if change["deleted"] else summary(change["body"])
-    head = f"{change['version']:>6}  {at}  {change['actor'] or '-'}"
-    click.echo(f"{head}  {change['kind']} {change['name']}  {what}")
+    description = "deleted" if change["deleted"] else summary(change["body"])
+    prefix = f"{change['version']:>6}  {at}  {change['actor'] or '-'}"
+    click.echo(f"{prefix}  {change['kind']} {change['name']}  {description}")
 
 
 def summary(body: Mapping[str, Any]) -> str:
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/declared.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/declared.py
@@ -51,7 +51,7 @@
                 problems += (f"{source}: {p}" for p in resource.problems)
             else:
                 found.append(Declared(source, resource))
-    problems += repeated(found)
+    problems += duplicate_messages(found)
     if problems:
         hint = "What to do: correct the named values; nothing was applied"
         raise CommandFailed("\n".join([*problems, hint]), ExitCode.INVALID)
@@ -95,7 +95,7 @@
     return [(source, content)]
 
 
-def repeated(found: list[Declared]) -> list[str]:
+def duplicate_messages(found: list[Declared]) -> list[str]:
     """Return a message for each resource that is declared twice."""
     first: dict[tuple[str, str], str] = {}
     messages: list[str] = []
--- a/packages/jackdawcrank-cli/tests/conftest.py
+++ b/packages/jackdawcrank-cli/tests/conftest.py
@@ -175,7 +175,7 @@
     monkeypatch.chdir(tmp_path)
     monkeypatch.setattr(client, "RETRY_SECONDS", 0.01)
     monkeypatch.setattr(watch, "RECONNECT_SECONDS", 0.01)
-    monkeypatch.setattr(timeline, "HOLD_SECONDS", 0.01)
+    monkeypatch.setattr(timeline, "REORDER_DELAY_SECONDS", 0.01)
     seconds = itertools.count()
     platform = Platform()
     await platform.start()
