--- a/packages/jackdawcrank-cli/tests/explain/test_explain.py
+++ b/packages/jackdawcrank-cli/tests/explain/test_explain.py
@@ -13,14 +13,14 @@
 
 
 @pytest.mark.parametrize("path", LOGS, ids=lambda path: path.stem)
-def test_walk_is_as_recorded(path: pathlib.Path) -> None:
+def test_explanation_matches_golden_file(path: pathlib.Path) -> None:
     request = path.read_text().splitlines()[0].removeprefix("# ")
     result = CliRunner().invoke(main, ["explain", request, "--logs", path])
     assert result.exit_code == 0, result.output
     assert result.output == path.with_suffix(".txt").read_text()
 
 
-def test_there_are_walks_of_three_kinds() -> None:
+def test_expected_logs_exist() -> None:
     assert [path.stem for path in LOGS] == [
         "in-doubt",
         "no-primary",
@@ -28,14 +28,14 @@
     ]
 
 
-def test_unknown_request_is_told() -> None:
+def test_unknown_request_is_reported() -> None:
     path = LOGS[0]
     result = CliRunner().invoke(main, ["explain", "none", "--logs", path])
     assert result.exit_code == 5
     assert "No line names this request" in result.output
 
 
-def test_lines_of_other_programs_and_cut_lines_are_passed_over() -> None:
+def test_foreign_and_truncated_lines_are_skipped() -> None:
     texts = [
         "nonsense",
         '{"at": 1.0, "vm": "a"',
@@ -64,8 +64,6 @@
         ),
     ],
 )
-def test_cause_names_what_decided(
-    fields: dict[str, object], expected: str
-) -> None:
+def test_cause_states_reason(fields: dict[str, object], expected: str) -> None:
     line = LogLine(1.0, "a", "statement", {"request": "r", **fields})
     assert expected in cause(find_chain([line], "r"))
--- a/packages/jackdawcrank-cli/tests/test_commands.py
+++ b/packages/jackdawcrank-cli/tests/test_commands.py
@@ -52,7 +52,7 @@
     raise AssertionError("the condition never held")
 
 
-async def test_a_watch_goes_on_at_another_proxy(system: Any) -> None:
+async def test_watch_fails_over_to_another_proxy(system: Any) -> None:
     await append(system, 2)
     line = "watch --from 0 --max-changes 4 -o json"
     watch = asyncio.create_task(system.ctl("ada", "vm-1,vm-2", line))
@@ -66,7 +66,7 @@
     assert lines[-1] == "[exit 0]"
 
 
-async def test_a_time_line_is_followed_over_all_vms(system: Any) -> None:
+async def test_timeline_follows_all_vms(system: Any) -> None:
     timelines = [ports.timeline for ports in system.ports]
     timelines[1].record(EventKind.LEASE_LOST, "g", 1)
     line = "timeline --follow --group g"
@@ -82,7 +82,9 @@
     assert len(shown) == 3
 
 
-async def test_a_silent_vm_is_named_and_the_rest_shown(system: Any) -> None:
+async def test_unreachable_vm_is_reported_and_other_events_shown(
+    system: Any,
+) -> None:
     system.ports[0].timeline.record(EventKind.LEASE_LOST, "g", 1)
     await system.apis[1].close()
     shown = await system.ctl("ada", "vm-1", "timeline")
@@ -90,7 +92,7 @@
     assert "events of VM vm-2 are missing" in shown
 
 
-async def test_an_export_is_written_to_a_file(system: Any) -> None:
+async def test_export_is_written_to_file(system: Any) -> None:
     system.ports[0].timeline.record(EventKind.LEASE_LOST, "g", 1)
     line = "timeline --export trace --to trace.json"
     assert await system.ctl("ada", "vm-1", line) == "[exit 0]\n"
@@ -99,13 +101,15 @@
     assert "lease_lost" in names
 
 
-async def test_another_proxy_is_tried(system: Any) -> None:
+async def test_next_proxy_is_tried(system: Any) -> None:
     await system.apis[0].close()
     shown = await system.ctl("ada", "vm-1,vm-2", "get groups")
     assert shown.endswith("[exit 0]\n")
 
 
-async def test_no_proxy_and_a_wrong_token_are_told(system: Any) -> None:
+async def test_unreachable_proxies_and_wrong_token_are_reported(
+    system: Any,
+) -> None:
     line = "--token wrong get groups"
     assert "[exit 7]" in await system.ctl("ada", "vm-1", line)
     for api in system.apis:
@@ -115,7 +119,7 @@
     assert "[exit 6]" in shown
 
 
-def test_the_token_may_come_from_a_file(tmp_path: pathlib.Path) -> None:
+def test_token_is_read_from_file(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "token"
     path.write_text("secret\n")
     assert CliConfig(token_file=path).bearer_token() == "secret"
@@ -149,7 +153,7 @@
     assert "`head_read_seconds`" in result.output
 
 
-def test_every_command_explains_itself() -> None:
+def test_every_command_has_help() -> None:
     for command in COMMANDS:
         result = CliRunner().invoke(main, [str(command.name), "--help"])
         assert result.exit_code == 0
--- a/packages/jackdawcrank-cli/tests/test_sessions.py
+++ b/packages/jackdawcrank-cli/tests/test_sessions.py
@@ -28,7 +28,7 @@
     path.write_text(session)
 
 
-def test_there_are_sessions() -> None:
+def test_expected_sessions_exist() -> None:
     assert {path.stem for path in SESSIONS} >= {
         "apply",
         "drain",
