--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/__init__.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, one module each."""
+"""Commands of jackdawcrankctl, one module per command or group of them."""
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/actions.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/actions.py
@@ -1,4 +1,4 @@
-"""Commands that make the system do something."""
+"""Commands that start operator actions or show the outcome of requests."""
 
 from typing import Any
 
@@ -38,10 +38,15 @@
 async def drain_named(
     client: Client, name: str, kind: str | None
 ) -> tuple[str, Any]:
-    """Drain what a name stands for and return what that was.
+    """Drain a VM or server and return its kind and the proxy's answer.
+
+    Args:
+      client: The open client.
+      name: Name of the VM or server.
+      kind: "vm" or "server"; None to look the name up.
 
     Raises:
-      CommandFailed: The name stands for nothing, or for two things.
+      CommandFailed: The name is unknown or ambiguous, or the request failed.
     """
     if kind is None:
         kind = await resolve_kind(client, name)
@@ -50,10 +55,11 @@
 
 
 async def resolve_kind(client: Client, name: str) -> str:
-    """Return whether a name is that of a VM or of a server.
+    """Return "vm" or "server", whichever has the name.
 
     Raises:
-      CommandFailed: It is neither, or both.
+      CommandFailed: The name belongs to neither or to both, or no proxy
+        answered.
     """
     path = f"/v1/{Kind.BACKEND_SERVER}/{name}"
     is_server = not (await client.request("GET", path)).is_error
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/apply.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/apply.py
@@ -1,4 +1,4 @@
-"""Makes the system as declared."""
+"""Applies declared resources to the system."""
 
 import pathlib
 from typing import Any
@@ -47,7 +47,7 @@
 async def apply_all(
     client: Client, declared: list[Declared], prune: bool
 ) -> list[Answer]:
-    """Apply every resource, print each result and return the failures."""
+    """Apply all resources, print each result and return the error answers."""
     steps = make_plan(declared, await read_present(client), prune)
     results = [(step, await apply_step(client, step)) for step in steps]
     if client.config.output == "json":
@@ -60,7 +60,7 @@
 
 
 async def apply_step(client: Client, step: Step) -> Answer | None:
-    """Carry out a step; None if there is nothing to do."""
+    """Apply one step and return the answer; None for an unchanged resource."""
     path = f"/v1/{step.kind}/{step.name}"
     if step.action is Action.NONE:
         return None
@@ -76,7 +76,7 @@
 
 
 def print_result(step: Step, answer: Answer | None) -> None:
-    """Print what became of a step."""
+    """Print the result of a step; errors go to standard error."""
     label = f"{step.kind} {step.name}"
     if answer is None:
         click.echo(f"{label} unchanged at version {step.version}")
@@ -92,7 +92,7 @@
 
 
 def result_document(step: Step, answer: Answer | None) -> dict[str, Any]:
-    """Return what became of a step as JSON values."""
+    """Return the result of a step as a JSON object."""
     document: dict[str, Any] = {
         "kind": step.kind,
         "name": step.name,
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/declared_path.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/declared_path.py
@@ -1,4 +1,4 @@
-"""The option that names the files that declare resources."""
+"""Command-line option for the files that declare resources."""
 
 import pathlib
 
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/delete.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/delete.py
@@ -35,7 +35,17 @@
 async def remove(
     client: Client, kind: Kind, name: str, version: int | None
 ) -> Any:
-    """Delete a resource of a known version."""
+    """Delete a resource if its version matches.
+
+    Args:
+      client: The open client.
+      kind: The kind of the resource.
+      name: The name of the resource.
+      version: The required version; None to use the current one.
+
+    Raises:
+      CommandFailed: No proxy answered, or the answer is an error.
+    """
     path = f"/v1/{kind}/{name}"
     if version is None:
         version = (await client.call("GET", path))["resourceVersion"]
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/diff.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/diff.py
@@ -1,4 +1,4 @@
-"""Shows where the system is not as declared."""
+"""Shows differences between declared and current resources."""
 
 import pathlib
 
@@ -38,13 +38,13 @@
 
 
 async def drift(client: Client, declared: list[Declared]) -> list[Step]:
-    """Return the steps that would make the system as declared."""
+    """Return the steps needed to bring the system to the declared state."""
     plan = make_plan(declared, await read_present(client), prune=True)
     return [step for step in plan if step.action is not Action.NONE]
 
 
 def print_step(step: Step) -> None:
-    """Print one difference."""
+    """Print how one resource differs from its declaration."""
     click.echo(f"{step.kind} {step.name} {ACTION_DESCRIPTIONS[step.action]}")
     for item in step.differences:
         present, declared = cell(item.present), cell(item.declared)
@@ -52,7 +52,7 @@
 
 
 def step_document(step: Step) -> dict[str, object]:
-    """Return one difference as JSON values."""
+    """Return the difference of one resource as a JSON object."""
     return {
         "kind": step.kind,
         "name": step.name,
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/explain.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""Explains how a request ended, from log files."""
+"""Explains the outcome of a request from log files."""
 
 import itertools
 import json
@@ -31,11 +31,7 @@
 
 
 def format_line(line: LogLine) -> str:
-    """Return a line for people.
-
-    Args:
-      line: The line.
-    """
+    """Return a log line as human-readable text."""
     pairs = " ".join(
         f"{name}={json.dumps(value)}" for name, value in line.fields.items()
     )
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/get.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/get.py
@@ -1,4 +1,4 @@
-"""Lists resources or shows one."""
+"""Lists the resources of a kind or shows a single one."""
 
 from typing import Any
 
@@ -65,7 +65,7 @@
 async def read(
     client: Client, kind: Kind, name: str | None
 ) -> list[dict[str, Any]]:
-    """Return the resources of a kind, or the one of a name."""
+    """Return all resources of a kind, or only the one with the given name."""
     if name is not None:
         return [await client.call("GET", f"/v1/{kind}/{name}")]
     listed: list[dict[str, Any]]
@@ -74,7 +74,7 @@
 
 
 def cells(item: dict[str, Any], kind: Kind) -> list[Any]:
-    """Return a resource's row in the table."""
+    """Return the table row of a resource."""
     spec = item["spec"]
     values = (spec.get(key) for _, key in COLUMNS[kind])
     return [item["metadata"]["name"], *values, item["resourceVersion"]]
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/run.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/run.py
@@ -1,4 +1,4 @@
-"""Runs a command's coroutine with an open client."""
+"""Runs the coroutine of a command with an open client."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,7 +11,7 @@
 
 
 def run(config: CliConfig, body: Callable[[Client], Awaitable[T]]) -> T:
-    """Run a coroutine that needs a client and return its result."""
+    """Run a coroutine with an open client and return its result."""
 
     async def with_client() -> T:
         async with Client(config) as client:
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/settings.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/settings.py
@@ -1,4 +1,4 @@
-"""Checks and explains the settings of a proxy."""
+"""Validates and documents the settings of a proxy."""
 
 import pathlib
 
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/status.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/status.py
@@ -30,7 +30,7 @@
 
 
 def vm_cells(vm: Mapping[str, Any]) -> tuple[Any, ...]:
-    """Return a VM's row in the table."""
+    """Return the table row of a VM."""
     address = f"{vm['host']}:{vm['operatorPort']}"
     return (
         vm["name"],
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/timeline.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/timeline.py
@@ -1,4 +1,4 @@
-"""Shows the events of all VMs in one order."""
+"""Shows the timeline events of all VMs, merged in order."""
 
 import asyncio
 import pathlib
@@ -30,7 +30,7 @@
 
 
 class TimeType(click.ParamType[float]):
-    """A Unix time, or a time before now such as `10m`."""
+    """Parameter type for a Unix time or an age such as `10m`."""
 
     name = "time"
 
@@ -40,7 +40,7 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> float:
-        """Return the Unix time that was typed."""
+        """Return the argument as Unix time in seconds."""
         match = re.fullmatch(r"(\d+(?:\.\d+)?)([smhd]?)", str(value))
         if match is None:
             self.fail(f"{value!r} is no time such as 10m, 2h or 1790000000")
@@ -50,13 +50,13 @@
 
 @attrs.frozen
 class Selection:
-    """Which events are wanted.
+    """Filter for timeline events.
 
     Attributes:
       group: The database group; empty for all.
       request: The caller's request id; empty for all.
-      after: The earliest Unix time; None for any.
-      before: The latest Unix time; None for any.
+      after: The earliest time in Unix seconds; None for no limit.
+      before: The latest time in Unix seconds; None for no limit.
       vms: The VMs; empty for all.
     """
 
@@ -67,7 +67,7 @@
     vms: tuple[str, ...] = ()
 
     def query(self, follow: bool) -> str:
-        """Return the query of a proxy's time line."""
+        """Return the URL query string for the timeline API of a proxy."""
         values = {
             "group": self.group,
             "request": self.request,
@@ -124,7 +124,7 @@
 
 
 def render(events: list[TimelineEvent], export: str | None, output: str) -> str:
-    """Return events in the form that was asked for."""
+    """Return events as text in the requested format."""
     if export == "trace":
         return to_trace_events(events) + "\n"
     if export == "jsonl" or output == "json":
@@ -133,7 +133,7 @@
 
 
 def write(text: str, path: pathlib.Path | None) -> None:
-    """Write a text to a file or to standard output."""
+    """Write text to a file, or to standard output if there is no path."""
     if path is None:
         click.echo(text, nl=False)
     else:
@@ -143,10 +143,10 @@
 async def select_vm_urls(
     client: Client, selection: Selection
 ) -> dict[str, str]:
-    """Return the URL of each wanted VM's API.
+    """Return the resource API URL of each selected VM by name.
 
     Raises:
-      CommandFailed: A wanted VM is not known.
+      CommandFailed: A selected VM is unknown, or no proxy answered.
     """
     status = await client.call("GET", "/v1/status")
     urls = {vm["name"]: vm_url(vm) for vm in status["vms"]}
@@ -159,12 +159,12 @@
 
 
 def vm_url(vm: Mapping[str, Any]) -> str:
-    """Return the URL of a VM's API."""
+    """Return the URL of the resource API of a VM."""
     return f"http://{vm['host']}:{vm['operatorPort']}"
 
 
 async def gather(client: Client, selection: Selection) -> list[TimelineEvent]:
-    """Return the events of all VMs that answer, in one order."""
+    """Return the merged events of all selected VMs that answer."""
     urls = await select_vm_urls(client, selection)
     query = selection.query(follow=False)
     parts = await asyncio.gather(
@@ -179,7 +179,11 @@
 async def fetch_events(
     client: Client, vm: str, url: str
 ) -> list[TimelineEvent]:
-    """Return the events of one VM; none, with a warning, if it is silent."""
+    """Return the events of one VM.
+
+    If the connection fails or times out, a warning is printed and the events
+    read so far are returned.
+    """
     events: list[TimelineEvent] = []
     try:
         async with asyncio.timeout(client.config.timeout):
@@ -193,7 +197,11 @@
 async def show_live(
     client: Client, selection: Selection, as_json: bool
 ) -> None:
-    """Print events as they come, held back a little to put them in order."""
+    """Print events as they arrive.
+
+    Events are buffered for REORDER_DELAY_SECONDS so that those of different
+    VMs can be sorted.
+    """
     urls = await select_vm_urls(client, selection)
     query = selection.query(follow=True)
     pending: list[TimelineEvent] = []
@@ -213,7 +221,7 @@
 async def collect(
     client: Client, vm: str, url: str, pending: list[TimelineEvent]
 ) -> None:
-    """Add the events of one VM to a list until its stream ends."""
+    """Append the events of one VM to `pending` until its stream ends."""
     try:
         async for line in client.lines(url):
             add_event(pending, line)
@@ -222,20 +230,20 @@
 
 
 def add_event(events: list[TimelineEvent], line: str) -> None:
-    """Add the event on a line, if it is one."""
+    """Parse a line and append its event; malformed lines are skipped."""
     event = from_json_line(line)
     if not isinstance(event, MalformedEvent):
         events.append(event)
 
 
 def warn_missing(vm: str, error: BaseException) -> None:
-    """Say that a VM's events are missing or may be."""
+    """Warn that events of a VM may be missing."""
     reason = type(error).__name__
     click.echo(f"events of VM {vm} are missing: {reason}", err=True)
 
 
 def event_text(event: TimelineEvent) -> str:
-    """Return an event as one line for people."""
+    """Return an event as one human-readable line."""
     whole = int(event.wall)
     clock = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(whole))
     millis = int((event.wall - whole) * 1000)
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/watch.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/watch.py
@@ -1,4 +1,4 @@
-"""Follows changes."""
+"""Streams changes of resources and terms."""
 
 import asyncio
 import json
@@ -64,7 +64,19 @@
 async def changes(
     client: Client, version: int | None
 ) -> AsyncIterator[Mapping[str, Any]]:
-    """Yield each change above a version once, in order."""
+    """Yield each change above a version exactly once, in order.
+
+    After a lost connection the stream resumes at the last version seen, on
+    the next configured proxy.
+
+    Args:
+      client: The open client.
+      version: The version to start after; None for the current one.
+
+    Raises:
+      CommandFailed: A change is missing, the proxy returned an error, or
+        MAX_FAILURES connections in a row failed.
+    """
     failures = 0
     if version is None:
         status = await client.call("GET", "/v1/status")
@@ -91,10 +103,10 @@
 
 
 def check_consecutive(version: int, last: int) -> None:
-    """Make sure that no change is missing.
+    """Check that a version directly follows the last one.
 
     Raises:
-      CommandFailed: One is.
+      CommandFailed: At least one change is missing.
     """
     if version != last + 1:
         message = f"the change {last + 1} is missing before {version}"
@@ -104,7 +116,7 @@
 def matches_filter(
     change: Mapping[str, Any], kind: Kind | None, name: str | None
 ) -> bool:
-    """Return whether a change is one of those asked for."""
+    """Return whether a change has the requested kind and name."""
     if kind is not None and change["kind"] != kind:
         return False
     return name is None or change["name"] == name
@@ -122,5 +134,5 @@
 
 
 def summary(body: Mapping[str, Any]) -> str:
-    """Return a row as short text."""
+    """Return the spec of a change, or its whole body, as JSON text."""
     return json.dumps(body.get("spec", body), sort_keys=True)
