--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/__init__.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/__init__.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, over plain log files."""
+"""Finds the cause of a request's outcome in plain log files."""
 
 from jackdawcrank_cli.explain.cause import cause
 from jackdawcrank_cli.explain.chain import Chain, find_chain
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/cause.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/cause.py
@@ -1,4 +1,4 @@
-"""The cause of an answer in one sentence."""
+"""Describes the cause of a request's outcome in one sentence."""
 
 from jackdawcrank_cli.explain.chain import Chain
 from jackdawcrank_cli.explain.log_lines import LogLine
@@ -18,10 +18,10 @@
 
 
 def cause(chain: Chain) -> str:
-    """Return why a request ended as it did.
+    """Return a sentence that explains the outcome of a request.
 
     Args:
-      chain: What the logs hold about it.
+      chain: The log lines that concern the request.
     """
     if not chain.request_lines:
         return (
@@ -42,7 +42,7 @@
 
 
 def explain_transaction_failure(chain: Chain, last: LogLine) -> str:
-    """Return why a statement of a transaction had no answer."""
+    """Return why a statement in a transaction received no answer."""
     how = (
         f"gave no answer for {last.text('waited')} s"
         if last.fields.get("silent")
@@ -59,7 +59,7 @@
 
 
 def explain_doubtful_write(chain: Chain, last: LogLine) -> str:
-    """Return why a write is in doubt."""
+    """Return why the outcome of a write is unknown."""
     return (
         f"The write may stand or not: server {last.text('server')} gave no "
         f"answer ({last.text('reason')}){failover_clause(chain)}."
@@ -82,7 +82,7 @@
 
 
 def explain_missing_primary(chain: Chain) -> str:
-    """Return why there was no primary to send a statement to."""
+    """Return why no primary was available for a statement."""
     contact = [
         line.event
         for line in chain.context_lines
@@ -100,7 +100,7 @@
 
 
 def failover_clause(chain: Chain) -> str:
-    """Return the change of primary around a request, as a clause."""
+    """Return a clause on the failover before the request ended, if any."""
     for line in reversed(chain.context_lines):
         if line.event == "replacing_primary":
             old = line.text("old") or "of the group"
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/chain.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/chain.py
@@ -1,4 +1,4 @@
-"""What led to the answer of one request."""
+"""Collects the log lines that explain the outcome of one request."""
 
 from collections.abc import Iterable
 
@@ -6,8 +6,8 @@
 
 from jackdawcrank_cli.explain.log_lines import LogLine
 
-# What a process believed shortly before counts: the longest statement of our
-# users takes 3 s, and a change of primary is over in 7 s.
+# Covers the longest statement of our users (3 s) and a complete change of
+# primary (7 s).
 LOOK_BACK_SECONDS = 7.0
 CONTEXT_EVENTS = frozenset(
     {
@@ -36,12 +36,13 @@
 
 @attrs.frozen
 class Chain:
-    """A request's own lines and those that explain them.
+    """The log lines of a request and the events that explain them.
 
     Attributes:
-      request: The request's id.
-      request_lines: The lines that name it, in order.
-      context_lines: What its processes believed before it ended, in order.
+      request: The request id.
+      request_lines: The lines that name the request, by time.
+      context_lines: Relevant state changes that processes logged in the last
+        LOOK_BACK_SECONDS before the request ended, by time.
     """
 
     request: str
@@ -49,21 +50,22 @@
     context_lines: tuple[LogLine, ...]
 
     def in_order(self) -> list[LogLine]:
-        """Return all lines in the order of their times."""
+        """Return all lines sorted by time."""
         return sorted(
             [*self.request_lines, *self.context_lines], key=lambda line: line.at
         )
 
 
 def find_chain(lines: Iterable[LogLine], request: str) -> Chain:
-    """Return what the logs hold about a request.
+    """Return the log lines that concern a request.
 
-    A change of primary is told by whichever process made it, so lines about
-    the request's group count from every process.
+    A change of primary is logged by the process that made it, which may not
+    have handled the request. Failover events of the request's group are
+    therefore taken from every process.
 
     Args:
       lines: The lines of all logs.
-      request: The request's id.
+      request: The request id.
     """
     known = list(lines)
     request_lines = [
@@ -93,12 +95,12 @@
 
 
 def is_relevant(line: LogLine, vms: set[str], groups: set[str]) -> bool:
-    """Return whether a belief bears on a request.
+    """Return whether a context event concerns a request.
 
     Args:
-      line: The belief.
-      vms: The processes that handled the request.
-      groups: The groups that it went to.
+      line: The log line of the event.
+      vms: The VMs whose processes handled the request.
+      groups: The database groups of the request.
     """
     group = line.text("group")
     if not group:
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/log_lines.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/log_lines.py
@@ -1,4 +1,4 @@
-"""Lines of decision logs."""
+"""Parses the lines of decision logs."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -9,13 +9,13 @@
 
 @attrs.frozen
 class LogLine:
-    """One line.
+    """One parsed log line.
 
     Attributes:
-      at: When it was written, Unix seconds.
-      vm: The process that wrote it.
-      event: What happened.
-      fields: The rest of the line.
+      at: Time of writing in Unix seconds.
+      vm: The VM whose process wrote the line.
+      event: The event name.
+      fields: All other fields of the line.
     """
 
     at: float
@@ -24,23 +24,23 @@
     fields: dict[str, Any]
 
     def text(self, name: str) -> str:
-        """Return a field as text, empty where there is none.
+        """Return a field as text; empty if it is missing or null.
 
         Args:
-          name: The field.
+          name: The field name.
         """
         value = self.fields.get(name)
         return "" if value is None else str(value)
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Return the lines of logs that can be read.
+    """Yield the log lines that can be parsed.
 
-    What a collector puts before a line is passed over, and so are lines of
-    other programs and lines that were cut.
+    Prefixes added by a log collector are ignored. Lines of other programs and
+    truncated lines are skipped.
 
     Args:
-      texts: Lines of text.
+      texts: Raw lines of text.
     """
     for text in texts:
         start = text.find("{")
