--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/client.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/client.py
@@ -1,4 +1,4 @@
-"""Asks proxies' resource APIs."""
+"""HTTP client for the resource APIs of the proxies."""
 
 import asyncio
 import getpass
@@ -24,11 +24,11 @@
 
 @attrs.frozen
 class Answer:
-    """An answer of a proxy.
+    """A response of a proxy.
 
     Attributes:
       status: The HTTP status.
-      document: The JSON value.
+      document: The decoded JSON body.
     """
 
     status: int
@@ -36,14 +36,14 @@
 
     @property
     def is_error(self) -> bool:
-        """Return whether the request was refused or failed."""
+        """Return whether the status is 400 or higher."""
         return self.status >= MIN_ERROR_STATUS
 
 
 class Client:
     """Sends requests to the first proxy that answers.
 
-    Every request is idempotent, so one whose answer was lost is sent again.
+    Every request is idempotent, so it is retried if its answer was lost.
 
     Attributes:
       config: The settings of the command line.
@@ -80,7 +80,7 @@
         body: Any = None,
         headers: Mapping[str, str] | None = None,
     ) -> Answer:
-        """Send a request and return its answer, also one that is an error.
+        """Send a request and return its answer, including error answers.
 
         Raises:
           CommandFailed: No proxy answered.
@@ -161,7 +161,7 @@
 
 
 def parse_json(text: str) -> Any:
-    """Return the JSON value of a text; an error object if it is none."""
+    """Return the decoded JSON; an error object if the text is invalid."""
     try:
         return json.loads(text)
     except ValueError:
@@ -169,7 +169,7 @@
 
 
 def user_name() -> str:
-    """Return who runs the command."""
+    """Return the operating system user; empty if it is unknown."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/config.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/config.py
@@ -1,4 +1,4 @@
-"""The settings of the command line, each declared once."""
+"""Global options of the command line, each declared once."""
 
 import pathlib
 from collections.abc import Callable
@@ -16,8 +16,8 @@
 
     Args:
       help_text: What the setting means.
-      default: Its value where neither option nor variable is given.
-      **more: Further arguments of the click option.
+      default: Its value if neither option nor environment variable is set.
+      **more: Further arguments for the click option.
     """
     metadata = {"help": help_text, "more": more}
     return attrs.field(default=default, metadata=metadata)
@@ -25,7 +25,7 @@
 
 @attrs.frozen(kw_only=True)
 class CliConfig:
-    """The settings that every command has."""
+    """The settings shared by all commands."""
 
     server: str = option(
         "URL of a proxy's resource API; several, separated by commas, are "
@@ -72,7 +72,7 @@
 
 
 def output_option() -> click.Option:
-    """Return the option that sets a single command's form of output."""
+    """Return the option that overrides the output format of a command."""
 
     def override(
         context: click.Context, _: click.Parameter, value: str | None
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/declared.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/declared.py
@@ -14,10 +14,10 @@
 
 @attrs.frozen
 class Declared:
-    """A resource and where it is declared.
+    """A declared resource and its source.
 
     Attributes:
-      source: The file, with an index if it holds several resources.
+      source: The file, with the index of the resource if it holds a list.
       resource: The resource.
     """
 
@@ -33,10 +33,10 @@
 def read_declared(path: pathlib.Path) -> list[Declared]:
     """Return the resources in a JSON file or a directory of such files.
 
-    Groups come first, so that servers find them.
+    Groups come first because servers refer to them.
 
     Args:
-      path: The file or directory; a directory is read with those below it.
+      path: The file or directory; directories are read recursively.
 
     Raises:
       CommandFailed: A file can't be read, or a resource is not valid; the
@@ -60,10 +60,10 @@
 
 
 def files_in(path: pathlib.Path) -> list[pathlib.Path]:
-    """Return the JSON files of a path, in order.
+    """Return the JSON files of a path, sorted by name.
 
     Raises:
-      CommandFailed: There is none.
+      CommandFailed: The directory holds no JSON file.
     """
     files = sorted(path.rglob("*.json")) if path.is_dir() else [path]
     if not files:
@@ -79,7 +79,7 @@
 
     Args:
       file: The file; it holds one resource or a list of them.
-      base: The path that was given; sources are relative to it.
+      base: The path from the command line; sources are relative to it.
 
     Raises:
       CommandFailed: The file can't be read or is not JSON.
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/exit_codes.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""What the command's exit status means."""
+"""Exit statuses of jackdawcrankctl and their meanings."""
 
 import enum
 
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/failure.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/failure.py
@@ -1,4 +1,4 @@
-"""Ends a command with a message and an exit status."""
+"""Failures that end a command with a message and an exit status."""
 
 from typing import Any
 
@@ -6,10 +6,10 @@
 
 
 class CommandFailed(Exception):
-    """A command can't go on.
+    """A command failed.
 
     Attributes:
-      message: What to tell the operator.
+      message: The message for the operator.
       code: The exit status.
     """
 
@@ -20,18 +20,18 @@
 
 
 def failure_from(status: int, document: Any) -> CommandFailed:
-    """Return the failure that an error answer stands for.
+    """Return the failure for an error answer.
 
     Args:
       status: The HTTP status.
-      document: The answer's JSON value.
+      document: The decoded JSON body of the answer.
     """
     error = document.get("error", {}) if isinstance(document, dict) else {}
     return CommandFailed(error_text(status, error), code_of_status(status))
 
 
 def error_text(status: int, error: Any) -> str:
-    """Return an error as lines of text that end with what to do."""
+    """Return the message, details and hint of an error as lines of text."""
     lines = [str(error.get("message", f"the proxy answered {status}"))]
     for problem in error.get("problems", ()):
         lines.append(f"  {problem['path']}: {problem['message']}")
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/kinds.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/kinds.py
@@ -1,4 +1,4 @@
-"""Names of kinds as people type them."""
+"""Command-line names of resource kinds."""
 
 import click
 
@@ -17,7 +17,7 @@
 
 
 class KindType(click.ParamType[Kind]):
-    """A kind of resource, in any of its spellings."""
+    """Parameter type for a resource kind or one of its aliases."""
 
     name = "kind"
 
@@ -27,7 +27,7 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> Kind:
-        """Return the kind that was typed."""
+        """Return the kind for a name or alias, ignoring case."""
         kind = ALIASES.get(value.lower())
         if kind is None:
             names = ", ".join(RESOURCE_KINDS)
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/main.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/main.py
@@ -1,4 +1,4 @@
-"""The operators' command line."""
+"""Entry point of the jackdawcrankctl command line."""
 
 import sys
 from typing import Any
@@ -37,10 +37,10 @@
 
 
 class Commands(click.Group):
-    """The commands; one that fails ends with a message and its status."""
+    """Command group that reports failures as a message and exit status."""
 
     def invoke(self, ctx: click.Context) -> Any:
-        """Run the command that was given."""
+        """Run the command and turn CommandFailed into an exit status."""
         try:
             return super().invoke(ctx)
         except CommandFailed as failure:
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/output.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/output.py
@@ -10,12 +10,12 @@
 
 
 def print_json(value: Any) -> None:
-    """Print a JSON value on several lines."""
+    """Print a JSON value, indented."""
     click.echo(json.dumps(value, indent=2, ensure_ascii=False))
 
 
 def print_table(headings: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Print rows under headings, in columns."""
+    """Print rows under headings in aligned columns."""
     lines = [list(headings), *([cell(c) for c in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
@@ -24,7 +24,7 @@
 
 
 def cell(value: Any) -> str:
-    """Return a value as the text of one cell."""
+    """Return a value as the text of a table cell."""
     if value is None or value == "":
         return "-"
     if isinstance(value, bool):
@@ -37,7 +37,7 @@
 
 
 def print_nested(value: Mapping[str, Any], indent: int = 0) -> None:
-    """Print a JSON object with one key a line, nested ones indented."""
+    """Print a JSON object with one key per line; nested keys are indented."""
     for name, item in value.items():
         if isinstance(item, Mapping) and item:
             click.echo(f"{' ' * indent}{name}:")
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/plan.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/plan.py
@@ -1,4 +1,4 @@
-"""Compares what is declared with what is in force."""
+"""Compares declared resources with those in force."""
 
 import enum
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 class Action(enum.StrEnum):
-    """What would make a resource as declared."""
+    """The action that brings a resource to its declared state."""
 
     CREATE = "create"
     CHANGE = "change"
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Difference:
-    """One key of a spec that differs.
+    """One differing key of a resource spec.
 
     Attributes:
       path: The key's path.
@@ -38,16 +38,16 @@
 
 @attrs.frozen
 class Step:
-    """What is to be done about one resource.
+    """The planned action for one resource.
 
     Attributes:
-      action: What is to be done.
+      action: The action to take.
       kind: The resource's kind.
       name: Its name.
-      version: The version that it must have, which is the one in force unless
-        the declaration names another; 0 if it does not exist.
+      version: The version required for the write: the one in force unless the
+        declaration names another; 0 if the resource does not exist.
       declared: The declaration; None for a resource to delete.
-      differences: What differs.
+      differences: The differing keys of the spec.
     """
 
     action: Action
@@ -74,12 +74,12 @@
 def make_plan(
     declared: list[Declared], present: Present, prune: bool
 ) -> list[Step]:
-    """Return a step for each resource.
+    """Return a step for each resource, deletions last.
 
     Args:
       declared: The declared resources, in the order to apply them.
       present: The resources in force.
-      prune: Whether to delete those that are not declared.
+      prune: Whether to delete resources that are not declared.
     """
     steps = [step_for(item, present.get(item.key)) for item in declared]
     if prune:
@@ -90,7 +90,7 @@
 
 
 def step_for(item: Declared, present: Mapping[str, Any] | None) -> Step:
-    """Return what makes one resource as declared."""
+    """Return the step that brings one resource to its declared state."""
     kind, name = item.key
     if present is None:
         return Step(Action.CREATE, kind, name, 0, item)
