--- a/packages/jackdawcrank-cli/tests/conftest.py
+++ b/packages/jackdawcrank-cli/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the command line's tests: two proxies and a platform."""
+"""Fixtures for the command-line tests: two proxies and a platform."""
 
 import asyncio
 import itertools
@@ -40,7 +40,7 @@
 
 @attrs.define
 class Ports:
-    """A proxy reduced to what the resource API needs."""
+    """A minimal proxy that provides what the resource API needs."""
 
     vm: str
     store: StoreClient
@@ -93,7 +93,7 @@
 
 @attrs.define
 class System:
-    """Two proxies and a platform that commands are run against."""
+    """Two proxies and a platform to run commands against."""
 
     platform: Platform
     ports: list[Ports]
@@ -101,7 +101,7 @@
     directory: pathlib.Path
 
     async def ctl(self, operator: str, vm: str, line: str) -> str:
-        """Run one command line and return what it printed and its status."""
+        """Run one command line and return its output and exit status."""
         for ports in self.ports:
             await ports.follower.read()
         token = next(t for t in TOKENS if t.startswith(f"{operator}:"))
@@ -119,18 +119,18 @@
         return f"{self.plain(result.output)}[exit {result.exit_code}]\n"
 
     def urls(self, vms: str) -> str:
-        """Return the URLs of some VMs, separated by commas like them."""
+        """Return the comma-separated URLs of comma-separated VM names."""
         ports = (self.apis[VMS.index(vm)].port for vm in vms.split(","))
         return ",".join(f"http://127.0.0.1:{port}" for port in ports)
 
     def plain(self, text: str) -> str:
-        """Return a text without what differs from run to run."""
+        """Return text with ports and directories replaced by stable names."""
         for vm, api in zip(VMS, self.apis, strict=True):
             text = text.replace(f"127.0.0.1:{api.port}", f"{vm}:8306")
         return text.replace(str(self.directory), "DIR")
 
     async def step(self, operator: str, vm: str, line: str) -> str:
-        """Run one line of a session and return what it printed."""
+        """Run one line of a session and return its output."""
         program, _, rest = line.partition(" ")
         if program == "jackdawcrankctl":
             return await self.ctl(operator, vm, rest)
@@ -144,7 +144,7 @@
         return ""
 
     def switch_store(self, fault: str) -> None:
-        """Switch a fault of the store."""
+        """Inject a fault into the store, or end it."""
         faults = self.platform.faults
         if fault == "stop":
             faults.stop(StopMode.REFUSE)
@@ -156,7 +156,7 @@
                 ports.store.channel.breaker.record_success()
 
     async def replay(self, session: str) -> str:
-        """Run a session again and return what it looks like now."""
+        """Run the commands of a session and return the new transcript."""
         lines: list[str] = []
         for line in session.splitlines():
             if line.startswith("#"):
@@ -212,5 +212,5 @@
 
 @pytest.fixture
 def update() -> bool:
-    """Return whether sessions are to be written instead of compared."""
+    """Return whether to rewrite the golden sessions."""
     return os.environ.get("UPDATE_SESSIONS") == "1"
--- a/packages/jackdawcrank-cli/tests/docs/test_links.py
+++ b/packages/jackdawcrank-cli/tests/docs/test_links.py
@@ -1,4 +1,4 @@
-"""Every page of the repository is linked, and every link leads somewhere."""
+"""Tests that documentation pages are linked and relative links resolve."""
 
 import pathlib
 import re
--- a/packages/jackdawcrank-cli/tests/explain/test_explain.py
+++ b/packages/jackdawcrank-cli/tests/explain/test_explain.py
@@ -1,4 +1,4 @@
-"""Whole walks from a request's id to its cause, on logs of played days."""
+"""Tests of request explanations on logs recorded from simulated days."""
 
 import pathlib
 
--- a/packages/jackdawcrank-cli/tests/test_commands.py
+++ b/packages/jackdawcrank-cli/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of commands that a session does not show."""
+"""Tests of command behaviour that the golden sessions do not cover."""
 
 import asyncio
 import json
--- a/packages/jackdawcrank-cli/tests/test_sessions.py
+++ b/packages/jackdawcrank-cli/tests/test_sessions.py
@@ -1,6 +1,6 @@
-"""Replays whole sessions and compares them with golden files.
+"""Replays command sessions and compares the output with golden files.
 
-UPDATE_SESSIONS=1 writes the files again; look at the difference.
+UPDATE_SESSIONS=1 rewrites the golden files; review the diff afterwards.
 """
 
 import pathlib
