--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/chain.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/explain/chain.py
@@ -67,9 +67,9 @@
       lines: The lines of all logs.
       request: The request id.
     """
-    known = list(lines)
+    all_lines = list(lines)
     request_lines = [
-        line for line in known if line.fields.get("request") == request
+        line for line in all_lines if line.fields.get("request") == request
     ]
     request_lines.sort(key=lambda line: line.at)
     if not request_lines:
@@ -80,12 +80,12 @@
     servers = {line.text("server") for line in request_lines} - {""}
     groups |= {
         line.text("group")
-        for line in known
+        for line in all_lines
         if line.text("server") in servers and line.text("group")
     }
     context_lines = [
         line
-        for line in known
+        for line in all_lines
         if line.event in CONTEXT_EVENTS
         and last.at - LOOK_BACK_SECONDS <= line.at <= last.at
         and is_relevant(line, vms, groups)
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/main.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/main.py
@@ -36,7 +36,7 @@
 )
 
 
-class Commands(click.Group):
+class CommandGroup(click.Group):
     """Command group that reports failures as a message and exit status."""
 
     def invoke(self, ctx: click.Context) -> Any:
@@ -48,7 +48,7 @@
             ctx.exit(int(failure.code))
 
 
-@click.group(cls=Commands, epilog=epilog())
+@click.group(cls=CommandGroup, epilog=epilog())
 @config_options
 @click.version_option(package_name="jackdawcrank-cli")
 @click.pass_context
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/output.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/output.py
@@ -6,7 +6,7 @@
 
 import click
 
-GAP = "  "
+COLUMN_SEPARATOR = "  "
 
 
 def print_json(value: Any) -> None:
@@ -20,7 +20,7 @@
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
         padded = (text.ljust(w) for text, w in zip(line, widths, strict=True))
-        click.echo(GAP.join(padded).rstrip())
+        click.echo(COLUMN_SEPARATOR.join(padded).rstrip())
 
 
 def cell(value: Any) -> str:
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/plan.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/plan.py
@@ -84,8 +84,8 @@
     steps = [step_for(item, present.get(item.key)) for item in declared]
     if prune:
         keys = {item.key for item in declared}
-        extra = [key for key in present if key not in keys]
-        steps += (removal(key, present[key]) for key in reversed(extra))
+        undeclared = [key for key in present if key not in keys]
+        steps += (removal(key, present[key]) for key in reversed(undeclared))
     return steps
 
 
--- a/packages/jackdawcrank-cli/tests/test_commands.py
+++ b/packages/jackdawcrank-cli/tests/test_commands.py
@@ -44,7 +44,7 @@
         await each.follower.read()
 
 
-async def until(condition: Any) -> None:
+async def wait_until(condition: Any) -> None:
     for _ in range(1000):
         if condition():
             return
@@ -56,7 +56,7 @@
     await append(system, 2)
     line = "watch --from 0 --max-changes 4 -o json"
     watch = asyncio.create_task(system.ctl("ada", "vm-1,vm-2", line))
-    await until(lambda: system.apis[0].runner.server.connections)
+    await wait_until(lambda: system.apis[0].runner.server.connections)
     await append(system, 1)
     await system.apis[0].close()
     await append(system, 1)
@@ -71,7 +71,7 @@
     timelines[1].record(EventKind.LEASE_LOST, "g", 1)
     line = "timeline --follow --group g"
     follow = asyncio.create_task(system.ctl("ada", "vm-1", line))
-    await until(lambda: all(t.subscriptions for t in timelines))
+    await wait_until(lambda: all(t.subscriptions for t in timelines))
     timelines[0].record(EventKind.LEASE_GAINED, "g", 2)
     timelines[0].record(EventKind.LEASE_GAINED, "h", 2)
     await asyncio.sleep(0.03)
--- a/packages/jackdawcrank-cli/tests/test_sessions.py
+++ b/packages/jackdawcrank-cli/tests/test_sessions.py
@@ -14,10 +14,10 @@
 @pytest.mark.parametrize("path", SESSIONS, ids=lambda path: path.stem)
 async def test_session(path: pathlib.Path, system: Any, update: bool) -> None:
     golden = read(path)
-    now = await system.replay(golden)
+    replayed = await system.replay(golden)
     if update:
-        write(path, now)
-    assert now == golden
+        write(path, replayed)
+    assert replayed == golden
 
 
 def read(path: pathlib.Path) -> str:
