--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/watch.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/watch.py
@@ -66,8 +66,8 @@
 ) -> AsyncIterator[Mapping[str, Any]]:
     """Yield each change above a version exactly once, in order.
 
-    After a lost connection the stream resumes at the last version seen, on
-    the next configured proxy.
+    After a lost connection the stream resumes after the last version seen.
+    Consecutive failures rotate through the configured proxies.
 
     Args:
       client: The open client.
@@ -75,7 +75,7 @@
 
     Raises:
       CommandFailed: A change is missing, the proxy returned an error, or
-        MAX_FAILURES connections in a row failed.
+        MAX_FAILURES connections failed with no line received in between.
     """
     failures = 0
     if version is None:
