--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/apply.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/apply.py
@@ -1,4 +1,4 @@
-"""Makes the system as declared."""
+"""Applies declared resources to the system."""
 
 import pathlib
 from typing import Any
@@ -16,7 +16,7 @@
 from jackdawcrank_cli.plan import Action, Step, make_plan, read_present
 from jackdawcrank_wire.resources import resource_document
 
-DONE = {
+ACTION_RESULTS = {
     Action.CREATE: "created",
     Action.CHANGE: "changed",
     Action.DELETE: "deleted",
@@ -40,14 +40,14 @@
     failures = run(config, lambda c: apply_all(c, declared, prune))
     if failures:
         worst = max(failures, key=lambda answer: answer.status)
-        count = f"{len(failures)} of the resources could not be applied"
-        raise CommandFailed(count, code_of_status(worst.status))
+        message = f"{len(failures)} of the resources could not be applied"
+        raise CommandFailed(message, code_of_status(worst.status))
 
 
 async def apply_all(
     client: Client, declared: list[Declared], prune: bool
 ) -> list[Answer]:
-    """Apply every resource, print each result and return the failures."""
+    """Apply all resources, print each result and return the error answers."""
     steps = make_plan(declared, await read_present(client), prune)
     results = [(step, await apply_step(client, step)) for step in steps]
     if client.config.output == "json":
@@ -60,7 +60,7 @@
 
 
 async def apply_step(client: Client, step: Step) -> Answer | None:
-    """Carry out a step; None if there is nothing to do."""
+    """Apply one step and return the answer; None for an unchanged resource."""
     path = f"/v1/{step.kind}/{step.name}"
     if step.action is Action.NONE:
         return None
@@ -76,7 +76,7 @@
 
 
 def print_result(step: Step, answer: Answer | None) -> None:
-    """Print what became of a step."""
+    """Print the result of a step; errors go to standard error."""
     label = f"{step.kind} {step.name}"
     if answer is None:
         click.echo(f"{label} unchanged at version {step.version}")
@@ -86,15 +86,17 @@
         click.echo(f"{source}: {error_text(answer.status, error)}", err=True)
     else:
         version = answer.document["resourceVersion"]
-        click.echo(f"{label} {DONE[step.action]} at version {version}")
+        click.echo(
+            f"{label} {ACTION_RESULTS[step.action]} at version {version}"
+        )
 
 
 def result_document(step: Step, answer: Answer | None) -> dict[str, Any]:
-    """Return what became of a step as JSON values."""
+    """Return the result of a step as a JSON object."""
     document: dict[str, Any] = {
         "kind": step.kind,
         "name": step.name,
-        "result": DONE[step.action],
+        "result": ACTION_RESULTS[step.action],
         "resourceVersion": step.version,
         "exitCode": int(ExitCode.OK),
     }
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/diff.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/diff.py
@@ -1,4 +1,4 @@
-"""Shows where the system is not as declared."""
+"""Shows differences between declared and current resources."""
 
 import pathlib
 
@@ -14,7 +14,7 @@
 from jackdawcrank_cli.output import cell, print_json
 from jackdawcrank_cli.plan import Action, Step, make_plan, read_present
 
-WORDS = {
+ACTION_DESCRIPTIONS = {
     Action.CREATE: "is declared but not in force",
     Action.CHANGE: "differs",
     Action.DELETE: "is in force but not declared",
@@ -38,21 +38,21 @@
 
 
 async def drift(client: Client, declared: list[Declared]) -> list[Step]:
-    """Return the steps that would make the system as declared."""
+    """Return the steps needed to bring the system to the declared state."""
     plan = make_plan(declared, await read_present(client), prune=True)
     return [step for step in plan if step.action is not Action.NONE]
 
 
 def print_step(step: Step) -> None:
-    """Print one difference."""
-    click.echo(f"{step.kind} {step.name} {WORDS[step.action]}")
+    """Print how one resource differs from its declaration."""
+    click.echo(f"{step.kind} {step.name} {ACTION_DESCRIPTIONS[step.action]}")
     for item in step.differences:
         present, declared = cell(item.present), cell(item.declared)
         click.echo(f"  {item.path}: {present} -> {declared}")
 
 
 def step_document(step: Step) -> dict[str, object]:
-    """Return one difference as JSON values."""
+    """Return the difference of one resource as a JSON object."""
     return {
         "kind": step.kind,
         "name": step.name,
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/explain.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""Explains how a request ended, from log files."""
+"""Explains the outcome of a request from log files."""
 
 import itertools
 import json
@@ -24,18 +24,14 @@
     """Print what led to the answer of REQUEST, and the cause."""
     chain = find_chain(read_lines(itertools.chain(*logs)), request)
     for line in chain.in_order():
-        click.echo(written(line))
+        click.echo(format_line(line))
     click.echo(f"cause: {cause(chain)}")
-    if not chain.own:
+    if not chain.request_lines:
         raise CommandFailed(f"no line names {request}", ExitCode.NOT_FOUND)
 
 
-def written(line: LogLine) -> str:
-    """Return a line for people.
-
-    Args:
-      line: The line.
-    """
+def format_line(line: LogLine) -> str:
+    """Return a log line as human-readable text."""
     pairs = " ".join(
         f"{name}={json.dumps(value)}" for name, value in line.fields.items()
     )
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/watch.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/commands/watch.py
@@ -1,4 +1,4 @@
-"""Follows changes."""
+"""Streams changes of resources and terms."""
 
 import asyncio
 import json
@@ -8,7 +8,7 @@
 
 import click
 
-from jackdawcrank_cli.client import LOST, Client
+from jackdawcrank_cli.client import CONNECTION_ERRORS, Client
 from jackdawcrank_cli.commands.run import run
 from jackdawcrank_cli.config import CliConfig
 from jackdawcrank_cli.exit_codes import ExitCode
@@ -51,7 +51,7 @@
     async def follow(client: Client) -> None:
         shown = 0
         async for change in changes(client, version):
-            if not wanted(change, kind, name):
+            if not matches_filter(change, kind, name):
                 continue
             print_change(change, config.output)
             shown += 1
@@ -64,7 +64,19 @@
 async def changes(
     client: Client, version: int | None
 ) -> AsyncIterator[Mapping[str, Any]]:
-    """Yield each change above a version once, in order."""
+    """Yield each change above a version exactly once, in order.
+
+    After a lost connection the stream resumes after the last version seen.
+    Consecutive failures rotate through the configured proxies.
+
+    Args:
+      client: The open client.
+      version: The version to start after; None for the current one.
+
+    Raises:
+      CommandFailed: A change is missing, the proxy returned an error, or
+        MAX_FAILURES connections failed with no line received in between.
+    """
     failures = 0
     if version is None:
         status = await client.call("GET", "/v1/status")
@@ -79,10 +91,10 @@
                 failures = 0
                 if change["version"] <= version:
                     continue
-                check_next(change["version"], version)
+                check_consecutive(change["version"], version)
                 version = change["version"]
                 yield change
-        except (*LOST, ValueError) as error:
+        except (*CONNECTION_ERRORS, ValueError) as error:
             failures += 1
             if failures >= MAX_FAILURES:
                 message = f"{server}: the watch was lost; {error}"
@@ -90,21 +102,21 @@
         await asyncio.sleep(RECONNECT_SECONDS)
 
 
-def check_next(version: int, last: int) -> None:
-    """Make sure that no change is missing.
+def check_consecutive(version: int, last: int) -> None:
+    """Check that a version directly follows the last one.
 
     Raises:
-      CommandFailed: One is.
+      CommandFailed: At least one change is missing.
     """
     if version != last + 1:
         message = f"the change {last + 1} is missing before {version}"
         raise CommandFailed(message, ExitCode.GONE)
 
 
-def wanted(
+def matches_filter(
     change: Mapping[str, Any], kind: Kind | None, name: str | None
 ) -> bool:
-    """Return whether a change is one of those asked for."""
+    """Return whether a change has the requested kind and name."""
     if kind is not None and change["kind"] != kind:
         return False
     return name is None or change["name"] == name
@@ -116,11 +128,11 @@
         click.echo(json.dumps(change, separators=(",", ":")))
         return
     at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(change["at"]))
-    what = "deleted" if change["deleted"] else summary(change["body"])
-    head = f"{change['version']:>6}  {at}  {change['actor'] or '-'}"
-    click.echo(f"{head}  {change['kind']} {change['name']}  {what}")
+    description = "deleted" if change["deleted"] else summary(change["body"])
+    prefix = f"{change['version']:>6}  {at}  {change['actor'] or '-'}"
+    click.echo(f"{prefix}  {change['kind']} {change['name']}  {description}")
 
 
 def summary(body: Mapping[str, Any]) -> str:
-    """Return a row as short text."""
+    """Return the spec of a change, or its whole body, as JSON text."""
     return json.dumps(body.get("spec", body), sort_keys=True)
--- a/packages/jackdawcrank-cli/src/jackdawcrank_cli/main.py
+++ b/packages/jackdawcrank-cli/src/jackdawcrank_cli/main.py
@@ -1,4 +1,4 @@
-"""The operators' command line."""
+"""Entry point of the jackdawcrankctl command line."""
 
 import sys
 from typing import Any
@@ -36,11 +36,11 @@
 )
 
 
-class Commands(click.Group):
-    """The commands; one that fails ends with a message and its status."""
+class CommandGroup(click.Group):
+    """Command group that reports failures as a message and exit status."""
 
     def invoke(self, ctx: click.Context) -> Any:
-        """Run the command that was given."""
+        """Run the command and turn CommandFailed into an exit status."""
         try:
             return super().invoke(ctx)
         except CommandFailed as failure:
@@ -48,7 +48,7 @@
             ctx.exit(int(failure.code))
 
 
-@click.group(cls=Commands, epilog=epilog())
+@click.group(cls=CommandGroup, epilog=epilog())
 @config_options
 @click.version_option(package_name="jackdawcrank-cli")
 @click.pass_context
--- a/packages/jackdawcrank-cli/tests/test_sessions.py
+++ b/packages/jackdawcrank-cli/tests/test_sessions.py
@@ -1,6 +1,6 @@
-"""Replays whole sessions and compares them with golden files.
+"""Replays command sessions and compares the output with golden files.
 
-UPDATE_SESSIONS=1 writes the files again; look at the difference.
+UPDATE_SESSIONS=1 rewrites the golden files; review the diff afterwards.
 """
 
 import pathlib
@@ -14,10 +14,10 @@
 @pytest.mark.parametrize("path", SESSIONS, ids=lambda path: path.stem)
 async def test_session(path: pathlib.Path, system: Any, update: bool) -> None:
     golden = read(path)
-    now = await system.replay(golden)
+    replayed = await system.replay(golden)
     if update:
-        write(path, now)
-    assert now == golden
+        write(path, replayed)
+    assert replayed == golden
 
 
 def read(path: pathlib.Path) -> str:
@@ -28,7 +28,7 @@
     path.write_text(session)
 
 
-def test_there_are_sessions() -> None:
+def test_expected_sessions_exist() -> None:
     assert {path.stem for path in SESSIONS} >= {
         "apply",
         "drain",
