--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/board.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/board.py
@@ -29,7 +29,7 @@
     FaultKind.SLOW,
 }
 VM_KINDS = {FaultKind.VM_LEAVING, FaultKind.VM_LIVE, FaultKind.VM_DEAD}
-ENDING = {
+END_KINDS = {
     FaultKind.PARTITION: FaultKind.HEAL,
     FaultKind.PAUSE: FaultKind.RESUME,
     FaultKind.STOP: FaultKind.START,
@@ -44,14 +44,14 @@
       store: The faults of the platform's service.
       vms: The platform's list of VMs.
       groups: The database groups.
-      ends: Timers that end faults.
+      end_timers: Timers that end faults.
     """
 
     def __init__(self, store: StoreFaults, vms: VmList) -> None:
         self.store = store
         self.vms = vms
         self.groups: list[BackendGroup] = []
-        self.ends: list[asyncio.TimerHandle] = []
+        self.end_timers: list[asyncio.TimerHandle] = []
         self.tasks: set[asyncio.Task[Outcome]] = set()
 
     def add_group(self, group: BackendGroup) -> None:
@@ -60,7 +60,7 @@
 
     def close(self) -> None:
         """Cancel the timers that end faults."""
-        for timer in self.ends:
+        for timer in self.end_timers:
             timer.cancel()
         for task in self.tasks:
             task.cancel()
@@ -96,12 +96,12 @@
 
     def schedule_end(self, fault: Fault) -> None:
         """End a fault after its seconds, if it has any."""
-        ending = ENDING.get(fault.kind)
-        if ending is None or fault.seconds is None:
+        end_kind = END_KINDS.get(fault.kind)
+        if end_kind is None or fault.seconds is None:
             return
         loop = asyncio.get_running_loop()
-        end = Fault(ending, server=fault.server)
-        self.ends.append(loop.call_later(fault.seconds, self.end, end))
+        end = Fault(end_kind, server=fault.server)
+        self.end_timers.append(loop.call_later(fault.seconds, self.end, end))
 
     def end(self, fault: Fault) -> None:
         """Apply the end of a fault."""
@@ -127,13 +127,13 @@
         name = fault.vm or ""
         now = asyncio.get_running_loop().time()
         if fault.kind is FaultKind.VM_DEAD:
-            known = self.vms.newest(name) is not None
+            vm_known = self.vms.newest(name) is not None
             self.vms.remove(name, now)
         else:
             leaving = fault.kind is FaultKind.VM_LEAVING
             state = VmState.LEAVING if leaving else VmState.LIVE
-            known = self.vms.set_state(name, state, now)
-        return Accepted() if known else Rejected(f"no VM {name!r}")
+            vm_known = self.vms.set_state(name, state, now)
+        return Accepted() if vm_known else Rejected(f"no VM {name!r}")
 
     async def heal(self, server: BackendServer | None) -> None:
         """End all faults of one server, or everything if none is named."""
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/fault.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/fault.py
@@ -96,16 +96,16 @@
         raise ValueError(f"unknown member {sorted(unknown)[0]!r}")
     return Fault(
         kind=FaultKind(body["fault"]),
-        server=text_or_none(body, "server"),
-        vm=text_or_none(body, "vm"),
-        seconds=seconds_or_none(body),
-        count=count_of(body),
+        server=optional_string(body, "server"),
+        vm=optional_string(body, "vm"),
+        seconds=optional_seconds(body),
+        count=parse_count(body),
         links=Links(body.get("links", Links.ALL)),
         hang=bool(body.get("hang", False)),
     )
 
 
-def text_or_none(body: dict[str, Any], name: str) -> str | None:
+def optional_string(body: dict[str, Any], name: str) -> str | None:
     """Return a text member, or None if it is absent."""
     value = body.get(name)
     if value is not None and not isinstance(value, str):
@@ -113,18 +113,18 @@
     return value
 
 
-def seconds_or_none(body: dict[str, Any]) -> float | None:
+def optional_seconds(body: dict[str, Any]) -> float | None:
     """Return the seconds, or None if they are absent."""
     value = body.get("seconds")
     if value is None:
         return None
-    number = isinstance(value, (int, float)) and not isinstance(value, bool)
-    if not number or not math.isfinite(value) or value < 0:
+    is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
+    if not is_number or not math.isfinite(value) or value < 0:
         raise ValueError("seconds must be a number, not negative")
     return float(value)
 
 
-def count_of(body: dict[str, Any]) -> int:
+def parse_count(body: dict[str, Any]) -> int:
     """Return how many answers are lost."""
     value = body.get("count", 1)
     if type(value) is not int or value < 0:
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/check_history.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/check_history.py
@@ -16,24 +16,27 @@
       history: The history of a run that has come to rest.
     """
     return [
-        *_old_terms(history),
+        *_acknowledged_under_old_term(history),
         *_applied_twice(history),
-        *_not_run_ran(history),
-        *_lost(history),
+        *_refused_but_applied(history),
+        *_lost_writes(history),
         *_two_primaries(history),
     ]
 
 
-def _old_terms(history: History) -> Iterator[Violation]:
-    kept = history.final_writes()
+def _acknowledged_under_old_term(history: History) -> Iterator[Violation]:
+    final_write_ids = history.final_writes()
     for answer in history.answers:
-        if answer.outcome is not CallerOutcome.DONE or answer.write_id in kept:
+        if (
+            answer.outcome is not CallerOutcome.DONE
+            or answer.write_id in final_write_ids
+        ):
             continue
         later = [
-            opened
-            for opened in history.terms
-            if opened.term > answer.term
-            and opened.opened_at <= answer.answered_at
+            later_term
+            for later_term in history.terms
+            if later_term.term > answer.term
+            and later_term.opened_at <= answer.answered_at
         ]
         if later:
             yield Violation(
@@ -55,13 +58,13 @@
                 )
 
 
-def _not_run_ran(history: History) -> Iterator[Violation]:
-    kept = history.final_writes()
-    refused = (CallerOutcome.NOT_RUN, CallerOutcome.FAILED)
+def _refused_but_applied(history: History) -> Iterator[Violation]:
+    final_write_ids = history.final_writes()
+    unsuccessful_outcomes = (CallerOutcome.NOT_RUN, CallerOutcome.FAILED)
     for answer in history.answers:
-        if not answer.last or answer.outcome not in refused:
+        if not answer.last or answer.outcome not in unsuccessful_outcomes:
             continue
-        if answer.write_id in kept:
+        if answer.write_id in final_write_ids:
             yield Violation(
                 Rule.NOT_RUN_RAN,
                 answer.write_id,
@@ -69,12 +72,12 @@
             )
 
 
-def _lost(history: History) -> Iterator[Violation]:
-    kept = history.final_writes()
+def _lost_writes(history: History) -> Iterator[Violation]:
+    final_write_ids = history.final_writes()
     for answer in history.answers:
         if answer.outcome is not CallerOutcome.DONE:
             continue
-        if answer.must_survive and answer.write_id not in kept:
+        if answer.must_survive and answer.write_id not in final_write_ids:
             yield Violation(
                 Rule.LOST,
                 answer.write_id,
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/model_server.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/model_server.py
@@ -51,17 +51,21 @@
         if term != self.term:
             return False
         if primary == self.name:
-            return self.lead(offset)
+            return self.become_primary(offset)
         kept = self.log[:offset]
         tail = self.log[offset:]
-        self.dropped += [one for one in tail if one.position.term != term]
-        self.log = kept + [one for one in tail if one.position.term == term]
+        self.dropped += [
+            log_entry for log_entry in tail if log_entry.position.term != term
+        ]
+        self.log = kept + [
+            log_entry for log_entry in tail if log_entry.position.term == term
+        ]
         self.role = ServerRole.REPLICA
         self.primary = primary
         self.fenced = False
         return True
 
-    def lead(self, offset: int) -> bool:
+    def become_primary(self, offset: int) -> bool:
         """Become primary if the log ends where the term begins."""
         if self.role is ServerRole.PRIMARY and not self.fenced:
             return True
@@ -106,7 +110,7 @@
     def confirm(self, position: Position) -> int | None:
         """Return the fence term if the log holds a position, else None."""
         index = position.offset - 1
-        held = self.log[index : index + 1]
-        if held and held[0].position == position:
+        entries = self.log[index : index + 1]
+        if entries and entries[0].position == position:
             return self.term
         return None
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/virtual_time_loop.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/virtual_time_loop.py
@@ -8,7 +8,7 @@
 STEP_SECONDS = 1e-9
 
 
-class JumpingSelector(selectors.SelectSelector):
+class VirtualTimeSelector(selectors.SelectSelector):
     """Passes time at once instead of waiting.
 
     Each step of the loop takes `STEP_SECONDS`, so that a timer that is due
@@ -46,12 +46,12 @@
     """Runs timers without waiting, for programs that wait on nothing else."""
 
     def __init__(self) -> None:
-        self.jumping = JumpingSelector()
-        super().__init__(self.jumping)
+        self.virtual_selector = VirtualTimeSelector()
+        super().__init__(self.virtual_selector)
 
     def time(self) -> float:
         """Return the loop's time in seconds."""
-        return self.jumping.now
+        return self.virtual_selector.now
 
 
 def run_virtual(work: Coroutine[Any, Any, Any]) -> Any:
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/platform/platform.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/platform/platform.py
@@ -121,18 +121,20 @@
             await request.read()
         except ConnectionError:
             return bad_request("the request did not arrive whole")
-        refusal = await self.before(request)
-        if refusal is not None:
-            return refusal
+        refused_response = await self.delay_or_refuse(request)
+        if refused_response is not None:
+            return refused_response
         response = await handler(request)
         self.usage.bytes_in += request.content_length or 0
         if isinstance(response, web.Response):
             self.usage.bytes_out += response.content_length or 0
         if request.method != "GET" and self.faults.loses_answer():
-            self.drop(request)
+            self.abort_connection(request)
         return response
 
-    async def before(self, request: web.Request) -> web.Response | None:
+    async def delay_or_refuse(
+        self, request: web.Request
+    ) -> web.Response | None:
         """Hold a request back or refuse it; None lets it go on."""
         if self.faults.slow_seconds > 0:
             await asyncio.sleep(self.faults.slow_seconds)
@@ -142,13 +144,13 @@
                 return web.json_response({"error": "unavailable"}, status=503)
             await self.faults.gate.wait()
         now = asyncio.get_running_loop().time()
-        rate = (
+        rate_counter = (
             self.usage.reads if request.method == "GET" else self.usage.writes
         )
-        rate.add(now)
+        rate_counter.add(now)
         return None
 
-    def drop(self, request: web.Request) -> None:
+    def abort_connection(self, request: web.Request) -> None:
         """Cut a client's connection before its answer."""
         if request.transport is not None:
             request.transport.abort()
@@ -186,8 +188,10 @@
             case Committed(versions):
                 self.usage.rows_written += len(transaction.puts)
                 self.usage.rows_written += len(transaction.deletes)
-                named = {str(row): version for row, version in versions.items()}
-                return web.json_response({"versions": named})
+                versions_by_row = {
+                    str(row): version for row, version in versions.items()
+                }
+                return web.json_response({"versions": versions_by_row})
             case Conflicted(conflicts):
                 return web.json_response(
                     {
--- a/packages/jackdawcrank-standins/tests/faults/test_board.py
+++ b/packages/jackdawcrank-standins/tests/faults/test_board.py
@@ -66,7 +66,7 @@
     assert all(server["up"] for server in board.servers())
 
 
-async def test_a_fault_ends_after_its_seconds(board: FaultBoard) -> None:
+async def test_fault_ends_after_its_duration(board: FaultBoard) -> None:
     fault = Fault(FaultKind.PAUSE, server="a", seconds=0.001)
     await board.apply(fault)
     server = board.groups[0].servers["a"]
@@ -76,14 +76,16 @@
     assert board.active() == []
 
 
-async def test_heal_of_one_server_leaves_the_other(board: FaultBoard) -> None:
+async def test_healing_one_server_keeps_the_faults_of_another(
+    board: FaultBoard,
+) -> None:
     for name in ("a", "b"):
         await board.apply(Fault(FaultKind.PAUSE, server=name))
     await board.apply(Fault(FaultKind.HEAL, server="a"))
     assert [item["server"] for item in board.active()] == ["b"]
 
 
-async def test_a_vm_is_listed_as_leaving(board: FaultBoard) -> None:
+async def test_vm_faults_change_the_vm_list(board: FaultBoard) -> None:
     now = asyncio.get_running_loop().time()
     board.vms.put(Vm("alpha", "10.0.0.1", 1, 2), now, at_once=True)
     await board.apply(Fault(FaultKind.VM_LEAVING, vm="alpha"))
@@ -123,11 +125,11 @@
         {"fault": "partition", "server": "a", "links": "some"},
     ],
 )
-def test_malformed_faults(body: Any) -> None:
+def test_malformed_faults_are_rejected(body: Any) -> None:
     with pytest.raises(ValueError, match=r".+"):
         parse_fault(body)
 
 
-def test_a_partition_concerns_all_links_by_default() -> None:
+def test_partition_affects_all_links_by_default() -> None:
     fault = parse_fault({"fault": "partition", "server": "a"})
     assert fault.links is Links.ALL
--- a/packages/jackdawcrank-standins/tests/history/test_check_history.py
+++ b/packages/jackdawcrank-standins/tests/history/test_check_history.py
@@ -37,49 +37,53 @@
     )
 
 
-def rules(history: History) -> list[Rule]:
+def violated_rules(history: History) -> list[Rule]:
     return [violation.rule for violation in check_history(history)]
 
 
-def test_a_true_history_passes(history: History) -> None:
-    assert rules(history) == []
+def test_valid_history_has_no_violations(history: History) -> None:
+    assert violated_rules(history) == []
 
 
-def test_an_old_term_after_a_new_one_opened(history: History) -> None:
+def test_acknowledgement_under_an_old_term_is_a_violation(
+    history: History,
+) -> None:
     history.answers.append(CallerRecord("w3", CallerOutcome.DONE, 5.5, 1))
-    assert rules(history) == [Rule.OLD_TERM]
+    assert violated_rules(history) == [Rule.OLD_TERM]
 
 
-def test_an_old_term_s_kept_write_may_be_acknowledged(
+def test_write_of_an_old_term_on_the_final_branch_may_be_acknowledged(
     history: History,
 ) -> None:
     history.answers.append(CallerRecord("w1", CallerOutcome.DONE, 5.5, 1))
-    assert rules(history) == []
+    assert violated_rules(history) == []
 
 
-def test_a_write_applied_twice(history: History) -> None:
+def test_write_applied_twice_is_a_violation(history: History) -> None:
     history.logs["s2"] += (entry(2, 3, "w1"),)
-    assert rules(history) == [Rule.APPLIED_TWICE]
+    assert violated_rules(history) == [Rule.APPLIED_TWICE]
 
 
-def test_a_refused_write_that_ran(history: History) -> None:
+def test_write_reported_as_not_run_but_applied_is_a_violation(
+    history: History,
+) -> None:
     history.logs["s2"] += (entry(2, 3, "w2"),)
-    assert rules(history) == [Rule.NOT_RUN_RAN]
+    assert violated_rules(history) == [Rule.NOT_RUN_RAN]
 
 
-def test_an_earlier_refusal_of_a_later_retry_is_no_violation(
+def test_write_applied_on_retry_after_not_run_is_no_violation(
     history: History,
 ) -> None:
     history.answers[1] = attrs.evolve(history.answers[1], last=False)
     history.logs["s2"] += (entry(2, 3, "w2"),)
-    assert rules(history) == []
+    assert violated_rules(history) == []
 
 
-def test_a_confirmed_write_that_is_lost(history: History) -> None:
+def test_lost_confirmed_write_is_a_violation(history: History) -> None:
     history.logs["s2"] = history.logs["s2"][:1]
-    assert rules(history) == [Rule.LOST]
+    assert violated_rules(history) == [Rule.LOST]
 
 
-def test_a_term_opened_twice(history: History) -> None:
+def test_term_opened_twice_is_a_violation(history: History) -> None:
     history.terms.append(TermRecord(2, 6.0, "s3"))
-    assert rules(history) == [Rule.TWO_PRIMARIES]
+    assert violated_rules(history) == [Rule.TWO_PRIMARIES]
