--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/__init__.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/__init__.py
@@ -1,4 +1,4 @@
-"""Faults that the stand-ins can be given."""
+"""Fault injection for the stand-ins."""
 
 from jackdawcrank_standins.faults.board import FaultBoard
 from jackdawcrank_standins.faults.fault import (
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/board.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/board.py
@@ -1,4 +1,4 @@
-"""Switches the faults of the stand-ins."""
+"""Injects faults into the stand-ins and ends them."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -38,13 +38,14 @@
 
 
 class FaultBoard:
-    """Switches faults of the platform's service and of backend servers.
+    """Injects and ends faults of the platform service and backend servers.
 
     Attributes:
-      store: The faults of the platform's service.
-      vms: The platform's list of VMs.
-      groups: The database groups.
-      end_timers: Timers that end faults.
+      store: The faults of the platform service.
+      vms: The list of VMs of the platform.
+      groups: The database groups whose servers can be given faults.
+      end_timers: Timers that end faults after their duration.
+      tasks: Running tasks that end faults.
     """
 
     def __init__(self, store: StoreFaults, vms: VmList) -> None:
@@ -55,28 +56,28 @@
         self.tasks: set[asyncio.Task[Outcome]] = set()
 
     def add_group(self, group: BackendGroup) -> None:
-        """Make a group's servers known."""
+        """Register the servers of a group."""
         self.groups.append(group)
 
     def close(self) -> None:
-        """Cancel the timers that end faults."""
+        """Cancel the timers and tasks that end faults."""
         for timer in self.end_timers:
             timer.cancel()
         for task in self.tasks:
             task.cancel()
 
     def server(self, name: str | None) -> BackendServer | None:
-        """Return a backend server by its name."""
+        """Return a backend server by name, or None if it is unknown."""
         for group in self.groups:
             if name in group.servers:
                 return group.servers[name]
         return None
 
     async def apply(self, fault: Fault) -> Outcome:
-        """Switch a fault.
+        """Inject or end a fault.
 
         Args:
-          fault: What to switch.
+          fault: The requested change.
         """
         server = self.server(fault.server)
         if fault.server is not None and server is None:
@@ -95,7 +96,7 @@
         return Accepted()
 
     def schedule_end(self, fault: Fault) -> None:
-        """End a fault after its seconds, if it has any."""
+        """Schedule the end of a fault that has a duration."""
         end_kind = END_KINDS.get(fault.kind)
         if end_kind is None or fault.seconds is None:
             return
@@ -104,13 +105,13 @@
         self.end_timers.append(loop.call_later(fault.seconds, self.end, end))
 
     def end(self, fault: Fault) -> None:
-        """Apply the end of a fault."""
+        """Start a task that applies a fault that ends another one."""
         task = asyncio.get_running_loop().create_task(self.apply(fault))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def apply_to_store(self, fault: Fault) -> None:
-        """Switch a fault of the platform's service."""
+        """Inject or end a fault of the platform service."""
         match fault.kind:
             case FaultKind.STORE_STOP:
                 mode = StopMode.HANG if fault.hang else StopMode.REFUSE
@@ -123,7 +124,7 @@
                 self.store.lose_answers = fault.count
 
     def apply_to_vm(self, fault: Fault) -> Outcome:
-        """Change what the platform lists of a VM."""
+        """Change the state of a VM in the list of VMs or remove the VM."""
         name = fault.vm or ""
         now = asyncio.get_running_loop().time()
         if fault.kind is FaultKind.VM_DEAD:
@@ -136,7 +137,7 @@
         return Accepted() if vm_known else Rejected(f"no VM {name!r}")
 
     async def heal(self, server: BackendServer | None) -> None:
-        """End all faults of one server, or everything if none is named."""
+        """End all faults of a server, or of all servers and the service."""
         if server is not None:
             await heal_server(server)
             return
@@ -146,7 +147,7 @@
                 await heal_server(member)
 
     def active(self) -> list[dict[str, Any]]:
-        """Return the faults that are in force."""
+        """Return the active faults as JSON objects."""
         found: list[dict[str, Any]] = []
         if self.store.stopped:
             hangs = self.store.mode is StopMode.HANG
@@ -163,7 +164,7 @@
         return found
 
     def servers(self) -> list[dict[str, Any]]:
-        """Return what each backend server is at the moment."""
+        """Return the state of each backend server as a JSON object."""
         return [
             {
                 "name": server.name,
@@ -183,7 +184,7 @@
 
 
 def active_on(server: BackendServer) -> list[dict[str, Any]]:
-    """Return the faults that are in force on a server."""
+    """Return the active faults of a server as JSON objects."""
     found: list[dict[str, Any]] = []
     if not server.up:
         found.append({"fault": FaultKind.STOP})
@@ -206,7 +207,7 @@
 
 
 async def heal_server(server: BackendServer) -> None:
-    """End all faults of a server and start it if it is stopped."""
+    """End all faults of a server and restart it if it is stopped."""
     server.resume()
     server.group.heal(server.name)
     server.slow_seconds = 0.0
@@ -215,7 +216,7 @@
 
 
 async def partition(server: BackendServer, fault: Fault) -> None:
-    """Make packets from and to a server vanish."""
+    """Drop packets from and to a server."""
     server.group.partition(
         server.name,
         from_proxies=fault.links is not Links.SERVERS,
@@ -224,12 +225,12 @@
 
 
 async def pause(server: BackendServer, fault: Fault) -> None:
-    """Pause a server's process."""
+    """Pause the process of a server."""
     server.pause()
 
 
 async def resume(server: BackendServer, fault: Fault) -> None:
-    """Resume a server's process."""
+    """Resume the process of a server."""
     server.resume()
 
 
@@ -239,22 +240,22 @@
 
 
 async def start(server: BackendServer, fault: Fault) -> None:
-    """Start a crashed server again."""
+    """Restart a crashed server."""
     await server.restart()
 
 
 async def lag(server: BackendServer, fault: Fault) -> None:
-    """Set a server's replication lag."""
+    """Set the replication lag of a server."""
     server.set_lag(fault.seconds or 0.0)
 
 
 async def silence(server: BackendServer, fault: Fault) -> None:
-    """Make a server's open connections silent."""
+    """Stop responding permanently on the open connections of a server."""
     server.silence()
 
 
 async def slow(server: BackendServer, fault: Fault) -> None:
-    """Make a server's statements slower."""
+    """Delay the statements of a server."""
     server.slow_seconds = fault.seconds or 0.0
 
 
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/fault.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/fault.py
@@ -1,4 +1,4 @@
-"""A request to switch a fault."""
+"""Requests to inject or end a fault."""
 
 import dataclasses
 import enum
@@ -9,7 +9,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """What can be switched."""
+    """Kinds of changes: most inject a fault, some end one."""
 
     PARTITION = "partition"
     PAUSE = "pause"
@@ -30,7 +30,7 @@
 
 
 class Links(enum.StrEnum):
-    """Whose packets a partition drops."""
+    """The links on which a partition drops packets."""
 
     ALL = "all"
     PROXIES = "proxies"
@@ -39,16 +39,18 @@
 
 @attrs.frozen
 class Fault:
-    """A request to switch a fault.
+    """A request to inject or end a fault.
 
     Attributes:
-      kind: What to switch.
-      server: The backend server concerned.
-      vm: The VM concerned.
-      seconds: A lag or delay; for other faults, after how long it ends.
-      count: How many answers are lost.
-      links: Whose packets a partition drops.
-      hang: Whether a stopped store does not answer at all.
+      kind: The kind of change.
+      server: The name of the affected backend server.
+      vm: The name of the affected VM.
+      seconds: The lag or delay in seconds; for faults that can end on their
+        own, their duration in seconds.
+      count: The number of responses to lose.
+      links: The links on which a partition drops packets.
+      hang: Whether a stopped store leaves requests unanswered instead of
+        refusing them.
     """
 
     kind: FaultKind
@@ -62,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Accepted:
-    """The fault is switched."""
+    """The change was applied."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -70,7 +72,7 @@
     """Nothing was changed.
 
     Attributes:
-      reason: A sentence for people.
+      reason: A human-readable explanation.
     """
 
     reason: str
@@ -81,16 +83,16 @@
 
 
 def parse_fault(body: Any) -> Fault:
-    """Return the fault that a request's body describes.
+    """Parse the body of a request to inject or end a fault.
 
     Args:
-      body: The body as JSON values.
+      body: The decoded JSON body.
 
     Raises:
       ValueError: The body is malformed.
     """
     if not isinstance(body, dict) or "fault" not in body:
-        raise ValueError("the body needs a member 'fault'")
+        raise ValueError("the body must be an object with a member 'fault'")
     unknown = body.keys() - MEMBERS
     if unknown:
         raise ValueError(f"unknown member {sorted(unknown)[0]!r}")
@@ -106,7 +108,11 @@
 
 
 def optional_string(body: dict[str, Any], name: str) -> str | None:
-    """Return a text member, or None if it is absent."""
+    """Return a string member of the body, or None if it is absent.
+
+    Raises:
+      ValueError: The member is not a string.
+    """
     value = body.get(name)
     if value is not None and not isinstance(value, str):
         raise ValueError(f"{name} must be a string")
@@ -114,19 +120,27 @@
 
 
 def optional_seconds(body: dict[str, Any]) -> float | None:
-    """Return the seconds, or None if they are absent."""
+    """Return the member `seconds` of the body, or None if it is absent.
+
+    Raises:
+      ValueError: The member is not a finite, non-negative number.
+    """
     value = body.get("seconds")
     if value is None:
         return None
     is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
     if not is_number or not math.isfinite(value) or value < 0:
-        raise ValueError("seconds must be a number, not negative")
+        raise ValueError("seconds must be a non-negative number")
     return float(value)
 
 
 def parse_count(body: dict[str, Any]) -> int:
-    """Return how many answers are lost."""
+    """Return the member `count` of the body, or 1 if it is absent.
+
+    Raises:
+      ValueError: The member is not a non-negative integer.
+    """
     value = body.get("count", 1)
     if type(value) is not int or value < 0:
-        raise ValueError("count must be an integer, not negative")
+        raise ValueError("count must be a non-negative integer")
     return value
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/__init__.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/__init__.py
@@ -1,4 +1,4 @@
-"""Histories of whole runs: recording them and checking them."""
+"""Records the history of a test run and checks its consistency."""
 
 from jackdawcrank_standins.history.check_history import check_history
 from jackdawcrank_standins.history.history import History
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/check_history.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/check_history.py
@@ -1,4 +1,4 @@
-"""Checks a history against the rules of terms and writes."""
+"""Checks a history against the consistency rules for terms and writes."""
 
 import collections
 import itertools
@@ -10,10 +10,10 @@
 
 
 def check_history(history: History) -> list[Violation]:
-    """Return every place where a history breaks a rule.
+    """Return all violations of the rules in a history.
 
     Args:
-      history: The history of a run that has come to rest.
+      history: The complete history of a finished run.
     """
     return [
         *_acknowledged_under_old_term(history),
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/history.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/history.py
@@ -1,4 +1,4 @@
-"""The history of one database group over a whole run."""
+"""The history of one database group during a run."""
 
 import attrs
 
@@ -11,14 +11,15 @@
 
 @attrs.define
 class History:
-    """What callers were told and what servers logged.
+    """The answers to callers, the terms and the logs of the servers.
 
     Attributes:
-      answers: The answers to callers, in order of time.
-      terms: The openings of terms, in the order of the store's changes.
-      logs: The final log of each server.
-      final_primary: The server that leads at the end, whose log is the final
-        branch.
+      answers: The answers to callers, in chronological order.
+      terms: The terms that were opened, in the order in which the store
+        recorded them.
+      logs: The log of each server at the end of the run, by server name.
+      final_primary: The name of the primary at the end of the run. Its log
+        is the final branch.
     """
 
     answers: list[CallerRecord] = attrs.field(factory=list)
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/model_server.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/model_server.py
@@ -1,4 +1,4 @@
-"""A backend server reduced to its term, its role and its log."""
+"""An in-memory model of a backend server: its term, role and log."""
 
 import attrs
 
@@ -8,16 +8,19 @@
 
 @attrs.define(eq=False)
 class ModelServer:
-    """Keeps the contract of a backend server on terms and log positions.
+    """Models how a backend server handles terms and log positions.
 
     Attributes:
       name: The server's name.
-      term: The highest fence term.
-      fenced: Whether commits are refused until a primary is announced.
-      role: The role that it believes it has.
-      primary: The primary that it pulls from or is.
-      log: Its log.
-      dropped: Entries that it removed as not on the branch.
+      term: The highest term that the server was fenced with.
+      fenced: Whether commits are refused until the primary of the term is
+        announced.
+      role: The role that the server reports, which may be outdated.
+      primary: The name of the primary that the server replicates from; its
+        own name if it is the primary.
+      log: The committed entries, in order of position.
+      dropped: Entries that were rolled back because they are not on the
+        branch of the current term.
     """
 
     name: str
@@ -30,7 +33,7 @@
 
     @property
     def position(self) -> Position:
-        """Return the position of the last entry."""
+        """Return the position of the last entry, or 0:0 if there is none."""
         return self.log[-1].position if self.log else Position(0, 0)
 
     def report(self) -> ServerReport:
@@ -38,7 +41,7 @@
         return ServerReport(self.name, self.term, self.role, self.position)
 
     def fence(self, term: int) -> bool:
-        """Raise the fence; return whether the term was accepted."""
+        """Fence the server with a term; return whether it was accepted."""
         if term < self.term:
             return False
         if term > self.term:
@@ -47,7 +50,7 @@
         return True
 
     def announce(self, term: int, offset: int, primary: str) -> bool:
-        """Take the primary of a term; return whether it was accepted."""
+        """Set the primary of a term; return whether it was accepted."""
         if term != self.term:
             return False
         if primary == self.name:
@@ -66,7 +69,7 @@
         return True
 
     def become_primary(self, offset: int) -> bool:
-        """Become primary if the log ends where the term begins."""
+        """Become primary if the log ends at the start offset of the term."""
         if self.role is ServerRole.PRIMARY and not self.fenced:
             return True
         if len(self.log) != offset:
@@ -79,7 +82,8 @@
     def commit(self, write_id: str) -> Position | None:
         """Commit a write; return its position, or None if it is refused.
 
-        A write that the log already holds is found by its request record.
+        A write that is already in the log is not applied again; its existing
+        position is returned.
         """
         if self.fenced or self.role is not ServerRole.PRIMARY:
             return None
@@ -90,14 +94,22 @@
         return position
 
     def find(self, write_id: str) -> Position | None:
-        """Return the position of a write, if the log holds it."""
+        """Return the position of a write, or None if it is not in the log."""
         for entry in reversed(self.log):
             if entry.write_id == write_id:
                 return entry.position
         return None
 
     def pull(self, source: "ModelServer", limit: int = 1000) -> None:
-        """Copy the entries that the primary has and this server lacks."""
+        """Copy entries that are missing here from the log of the primary.
+
+        Copies nothing if the last entry differs from the entry of the primary
+        at the same offset.
+
+        Args:
+          source: The server to copy from; ignored unless it is the primary.
+          limit: The maximum number of entries to copy.
+        """
         if self.fenced or self.role is not ServerRole.REPLICA:
             return
         if source.name != self.primary:
@@ -108,7 +120,7 @@
         self.log += source.log[end : end + limit]
 
     def confirm(self, position: Position) -> int | None:
-        """Return the fence term if the log holds a position, else None."""
+        """Return the fence term if a position is in the log, else None."""
         index = position.offset - 1
         entries = self.log[index : index + 1]
         if entries and entries[0].position == position:
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/records.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/records.py
@@ -1,4 +1,4 @@
-"""The records that make up a history."""
+"""The records in a history."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class CallerOutcome(enum.StrEnum):
-    """What a caller was told of its write."""
+    """The outcome of a write that was reported to its caller."""
 
     DONE = "done"
     NOT_RUN = "not_run"
@@ -21,13 +21,15 @@
     """One answer to a caller's write.
 
     Attributes:
-      write_id: What tells the write from every other, in the servers' logs
-        too.
-      outcome: What the caller was told.
-      answered_at: When, in seconds of the run.
+      write_id: The unique id of the write, also used in the logs of the
+        servers.
+      outcome: The outcome that was reported to the caller.
+      answered_at: The time of the answer, in seconds on the clock of the
+        run.
       term: The term under which the write was acknowledged; 0 for none.
-      must_survive: Whether the group requires confirmations.
-      last: Whether nothing of the write was sent after this answer.
+      must_survive: Whether the group requires confirmations, so that an
+        acknowledged write must be on the final branch.
+      last: Whether the write was not sent again after this answer.
     """
 
     write_id: str
@@ -44,8 +46,9 @@
 
     Attributes:
       term: The term.
-      opened_at: When it was opened in the store, in seconds of the run.
-      primary: Its primary.
+      opened_at: The time at which the store recorded the term, in seconds on
+        the clock of the run.
+      primary: The name of the primary of the term.
     """
 
     term: int
@@ -58,8 +61,8 @@
     """An entry of a backend server's log.
 
     Attributes:
-      position: Its position.
-      write_id: The write that it holds.
+      position: The position of the entry.
+      write_id: The id of the write in the entry.
     """
 
     position: Position
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/violation.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/violation.py
@@ -1,4 +1,4 @@
-"""A rule that a history breaks."""
+"""The consistency rules for histories and their violations."""
 
 import enum
 
@@ -6,17 +6,18 @@
 
 
 class Rule(enum.StrEnum):
-    """The rules that every history has to keep.
+    """The rules that every history must satisfy.
 
     Attributes:
-      OLD_TERM: A write acknowledged under a term after a later one had
-        opened is on the final branch.
-      APPLIED_TWICE: No write is in a server's log twice.
-      NOT_RUN_RAN: A write that was last reported as not run or failed is not
-        on the final branch.
+      OLD_TERM: A write that is acknowledged under a term after a later term
+        was opened is on the final branch.
+      APPLIED_TWICE: No write occurs more than once in the log of a server.
+      NOT_RUN_RAN: A write whose last reported outcome is `not_run` or
+        `failed` is not on the final branch.
       LOST: An acknowledged write of a group that requires confirmations is
         on the final branch.
-      TWO_PRIMARIES: Each term is opened once, later terms later.
+      TWO_PRIMARIES: Each term is opened only once, and terms are opened in
+        increasing order.
     """
 
     OLD_TERM = "old_term"
@@ -28,12 +29,12 @@
 
 @attrs.frozen
 class Violation:
-    """One place where a history breaks a rule.
+    """A violation of a rule in a history.
 
     Attributes:
-      rule: The rule.
-      subject: The write or term concerned.
-      detail: A sentence for people.
+      rule: The violated rule.
+      subject: The id of the write or the number of the term.
+      detail: A human-readable explanation.
     """
 
     rule: Rule
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/virtual_time_loop.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/history/virtual_time_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps to the next thing that is due."""
+"""An event loop whose clock advances to the next timer without waiting."""
 
 import asyncio
 import selectors
@@ -9,13 +9,14 @@
 
 
 class VirtualTimeSelector(selectors.SelectSelector):
-    """Passes time at once instead of waiting.
+    """Advances a virtual clock instead of waiting.
 
-    Each step of the loop takes `STEP_SECONDS`, so that a timer that is due
-    by less than the clock's resolution is not set again for ever.
+    If anything is scheduled, each iteration of the loop advances the clock by
+    at least `STEP_SECONDS`. Without this step, a timer that is due within less
+    than the resolution of the clock would be rescheduled forever.
 
     Attributes:
-      now: The time in seconds.
+      now: The virtual time in seconds.
     """
 
     def __init__(self) -> None:
@@ -25,40 +26,47 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Pass the time-out; files are looked at only when nothing is planned.
+        """Advance the clock by the timeout.
+
+        Files are polled only if no callback or timer is scheduled.
 
         Args:
-          timeout: How long to wait in seconds; None to wait for ever.
+          timeout: The time to advance in seconds; None if no callback or
+            timer is scheduled.
 
         Raises:
-          RuntimeError: Nothing is ready and nothing is planned.
+          RuntimeError: No file is ready and nothing is scheduled, so that the
+            loop would block forever.
         """
         if timeout is not None:
             self.now += max(timeout, STEP_SECONDS)
             return []
         ready = super().select(0)
         if not ready:
-            raise RuntimeError("the loop waits for something that never comes")
+            raise RuntimeError("deadlock: no timer scheduled and no file ready")
         return ready
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Runs timers without waiting, for programs that wait on nothing else."""
+    """Runs timers without waiting, for programs that wait only for timers."""
 
     def __init__(self) -> None:
         self.virtual_selector = VirtualTimeSelector()
         super().__init__(self.virtual_selector)
 
     def time(self) -> float:
-        """Return the loop's time in seconds."""
+        """Return the virtual time in seconds."""
         return self.virtual_selector.now
 
 
 def run_virtual(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine to its end on a loop of its own and return its result.
+    """Run a coroutine on a new virtual-time loop and return its result.
 
     Args:
-      work: The coroutine.
+      work: The coroutine to run until it completes.
+
+    Raises:
+      RuntimeError: The coroutine waits although no timer is scheduled.
     """
     loop = VirtualTimeLoop()
     try:
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/platform/platform.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/platform/platform.py
@@ -1,4 +1,4 @@
-"""The platform's service over HTTP."""
+"""The HTTP service of the platform stand-in."""
 
 import asyncio
 import json
@@ -34,16 +34,17 @@
 
 
 class Platform:
-    """Tables, objects and the list of VMs, with faults on request.
+    """Serves tables, objects and the list of VMs, with fault injection.
 
     Attributes:
       tables: The table service.
       objects: The object store.
       vms: The list of VMs.
-      faults: What is wrong with the service now.
-      usage: Counts what it was asked.
-      board: Switches faults of the service and of backend servers.
-      url: The service's address, once started.
+      faults: The active faults of the service.
+      usage: Counters of requests, rows and bytes.
+      board: Injects and ends faults of the service and backend servers.
+      url: The base URL of the service; empty before it is started.
+      runner: The running HTTP server, or None.
     """
 
     def __init__(self, vm_lag_seconds: float = VM_LIST_LAG_SECONDS) -> None:
@@ -57,7 +58,7 @@
         self.runner: web.AppRunner | None = None
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Begin to serve.
+        """Start serving.
 
         Args:
           host: The IP address to listen on.
@@ -83,7 +84,7 @@
             await runner.cleanup()
 
     def list_vm(self, vm: Vm) -> None:
-        """Add or change a VM; the list shows it at once."""
+        """Add or change a VM without the lag of the list of VMs."""
         now = asyncio.get_running_loop().time()
         self.vms.put(vm, now, at_once=True)
 
@@ -113,14 +114,18 @@
     async def apply_faults(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Serve a request as well as the present faults allow."""
+        """Apply the active faults to a request and count its usage.
+
+        The paths in `CONTROL_PATHS` are exempt.
+        """
         if request.path in CONTROL_PATHS:
             return await handler(request)
         try:
-            # What has arrived takes effect even if the client gives up.
+            # A request that was received in full takes effect even if the
+            # client disconnects.
             await request.read()
         except ConnectionError:
-            return bad_request("the request did not arrive whole")
+            return bad_request("the request body is incomplete")
         refused_response = await self.delay_or_refuse(request)
         if refused_response is not None:
             return refused_response
@@ -135,7 +140,13 @@
     async def delay_or_refuse(
         self, request: web.Request
     ) -> web.Response | None:
-        """Hold a request back or refuse it; None lets it go on."""
+        """Delay or refuse a request as the active faults require.
+
+        A request that may proceed is counted as a read or a write.
+
+        Returns:
+          A 503 response if the request is refused; None if it may proceed.
+        """
         if self.faults.slow_seconds > 0:
             await asyncio.sleep(self.faults.slow_seconds)
         if self.faults.stopped:
@@ -151,12 +162,12 @@
         return None
 
     def abort_connection(self, request: web.Request) -> None:
-        """Cut a client's connection before its answer."""
+        """Abort the connection of a client before the response is sent."""
         if request.transport is not None:
             request.transport.abort()
 
     async def get_row(self, request: web.Request) -> web.Response:
-        """Answer `GET /tables/T/K`."""
+        """Handle `GET /tables/T/K`."""
         row = self.tables.get(
             request.match_info["table"], request.match_info["key"]
         )
@@ -165,7 +176,7 @@
         return web.json_response({"value": row.value, "version": row.version})
 
     async def scan(self, request: web.Request) -> web.Response:
-        """Answer `GET /tables/T`."""
+        """Handle `GET /tables/T`."""
         try:
             limit = int(request.query.get("limit", DEFAULT_SCAN_LIMIT))
         except ValueError:
@@ -179,7 +190,7 @@
         )
 
     async def transact(self, request: web.Request) -> web.Response:
-        """Answer `POST /transactions`."""
+        """Handle `POST /transactions`."""
         try:
             transaction = parse_transaction(await request.json())
         except (ValueError, UnicodeDecodeError) as error:
@@ -209,7 +220,7 @@
                 )
 
     async def get_object(self, request: web.Request) -> web.Response:
-        """Answer `GET /objects/NAME`."""
+        """Handle `GET /objects/NAME`."""
         found = self.objects.get(request.match_info["name"])
         if found is None:
             return web.json_response({"error": "no such object"}, status=404)
@@ -220,7 +231,7 @@
         )
 
     async def put_object(self, request: web.Request) -> web.Response:
-        """Answer `PUT /objects/NAME`."""
+        """Handle `PUT /objects/NAME`."""
         result = self.objects.put(
             request.match_info["name"],
             await request.read(),
@@ -235,29 +246,29 @@
         )
 
     async def delete_object(self, request: web.Request) -> web.Response:
-        """Answer `DELETE /objects/NAME`."""
+        """Handle `DELETE /objects/NAME`."""
         deleted = self.objects.delete(request.match_info["name"])
         return web.Response(status=204 if deleted else 404)
 
     async def list_objects(self, request: web.Request) -> web.Response:
-        """Answer `GET /objects`."""
+        """Handle `GET /objects`."""
         names = self.objects.names(request.query.get("prefix", ""))
         return web.json_response({"names": names})
 
     async def list_vms(self, request: web.Request) -> web.Response:
-        """Answer `GET /vms`."""
+        """Handle `GET /vms`."""
         now = asyncio.get_running_loop().time()
         vms = [attrs.asdict(vm) for vm in self.vms.listed(now)]
         return web.json_response({"vms": vms})
 
     async def get_faults(self, request: web.Request) -> web.Response:
-        """Answer `GET /faults`."""
+        """Handle `GET /faults`."""
         return web.json_response(
             {"active": self.board.active(), "servers": self.board.servers()}
         )
 
     async def post_fault(self, request: web.Request) -> web.Response:
-        """Answer `POST /faults`."""
+        """Handle `POST /faults`."""
         try:
             fault = parse_fault(await request.json())
         except ValueError as error:
@@ -268,12 +279,12 @@
         return bad_request(outcome.reason)
 
     async def get_usage(self, request: web.Request) -> web.Response:
-        """Answer `GET /usage`."""
+        """Handle `GET /usage`."""
         return web.json_response(self.usage.as_json())
 
 
 def bad_request(message: str) -> web.Response:
-    """Return the answer to a malformed request."""
+    """Return the response to an invalid request."""
     body: dict[str, Any] = {"error": message}
     return web.Response(
         status=400,
--- a/packages/jackdawcrank-standins/tests/history/test_check_history.py
+++ b/packages/jackdawcrank-standins/tests/history/test_check_history.py
@@ -1,4 +1,4 @@
-"""The checker finds every kind of violation."""
+"""Tests that the checker detects each kind of violation."""
 
 import attrs
 import pytest
