--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/board.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/board.py
@@ -148,20 +148,24 @@
 
     def active(self) -> list[dict[str, Any]]:
         """Return the active faults as JSON objects."""
-        found: list[dict[str, Any]] = []
+        active_faults: list[dict[str, Any]] = []
         if self.store.stopped:
             hangs = self.store.mode is StopMode.HANG
-            found.append({"fault": FaultKind.STORE_STOP, "hang": hangs})
+            active_faults.append({"fault": FaultKind.STORE_STOP, "hang": hangs})
         if self.store.slow_seconds:
             seconds = self.store.slow_seconds
-            found.append({"fault": FaultKind.STORE_SLOW, "seconds": seconds})
+            active_faults.append(
+                {"fault": FaultKind.STORE_SLOW, "seconds": seconds}
+            )
         if self.store.lose_answers:
             count = self.store.lose_answers
-            found.append({"fault": FaultKind.STORE_LOSE_ANSWER, "count": count})
+            active_faults.append(
+                {"fault": FaultKind.STORE_LOSE_ANSWER, "count": count}
+            )
         for group in self.groups:
             for server in group.servers.values():
-                found.extend(active_on(server))
-        return found
+                active_faults.extend(active_faults_of(server))
+        return active_faults
 
     def servers(self) -> list[dict[str, Any]]:
         """Return the state of each backend server as a JSON object."""
@@ -183,27 +187,31 @@
         ]
 
 
-def active_on(server: BackendServer) -> list[dict[str, Any]]:
+def active_faults_of(server: BackendServer) -> list[dict[str, Any]]:
     """Return the active faults of a server as JSON objects."""
-    found: list[dict[str, Any]] = []
+    active_faults: list[dict[str, Any]] = []
     if not server.up:
-        found.append({"fault": FaultKind.STOP})
+        active_faults.append({"fault": FaultKind.STOP})
     if server.paused:
-        found.append({"fault": FaultKind.PAUSE})
+        active_faults.append({"fault": FaultKind.PAUSE})
     from_servers = server.name in server.group.partitioned
     if server.partitioned and from_servers:
-        found.append({"fault": FaultKind.PARTITION, "links": Links.ALL})
+        active_faults.append({"fault": FaultKind.PARTITION, "links": Links.ALL})
     elif server.partitioned:
-        found.append({"fault": FaultKind.PARTITION, "links": Links.PROXIES})
+        active_faults.append(
+            {"fault": FaultKind.PARTITION, "links": Links.PROXIES}
+        )
     elif from_servers:
-        found.append({"fault": FaultKind.PARTITION, "links": Links.SERVERS})
+        active_faults.append(
+            {"fault": FaultKind.PARTITION, "links": Links.SERVERS}
+        )
     if server.lag_seconds != server.declared_lag_seconds:
         seconds = server.lag_seconds
-        found.append({"fault": FaultKind.LAG, "seconds": seconds})
+        active_faults.append({"fault": FaultKind.LAG, "seconds": seconds})
     if server.slow_seconds:
         seconds = server.slow_seconds
-        found.append({"fault": FaultKind.SLOW, "seconds": seconds})
-    return [{**item, "server": server.name} for item in found]
+        active_faults.append({"fault": FaultKind.SLOW, "seconds": seconds})
+    return [{**item, "server": server.name} for item in active_faults]
 
 
 async def heal_server(server: BackendServer) -> None:
