--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/board.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/faults/board.py
@@ -1,4 +1,4 @@
-"""Switches the faults of the stand-ins."""
+"""Injects faults into the stand-ins and ends them."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -29,7 +29,7 @@
     FaultKind.SLOW,
 }
 VM_KINDS = {FaultKind.VM_LEAVING, FaultKind.VM_LIVE, FaultKind.VM_DEAD}
-ENDING = {
+END_KINDS = {
     FaultKind.PARTITION: FaultKind.HEAL,
     FaultKind.PAUSE: FaultKind.RESUME,
     FaultKind.STOP: FaultKind.START,
@@ -38,45 +38,46 @@
 
 
 class FaultBoard:
-    """Switches faults of the platform's service and of backend servers.
+    """Injects and ends faults of the platform service and backend servers.
 
     Attributes:
-      store: The faults of the platform's service.
-      vms: The platform's list of VMs.
-      groups: The database groups.
-      ends: Timers that end faults.
+      store: The faults of the platform service.
+      vms: The list of VMs of the platform.
+      groups: The database groups whose servers can be given faults.
+      end_timers: Timers that end faults after their duration.
+      tasks: Running tasks that end faults.
     """
 
     def __init__(self, store: StoreFaults, vms: VmList) -> None:
         self.store = store
         self.vms = vms
         self.groups: list[BackendGroup] = []
-        self.ends: list[asyncio.TimerHandle] = []
+        self.end_timers: list[asyncio.TimerHandle] = []
         self.tasks: set[asyncio.Task[Outcome]] = set()
 
     def add_group(self, group: BackendGroup) -> None:
-        """Make a group's servers known."""
+        """Register the servers of a group."""
         self.groups.append(group)
 
     def close(self) -> None:
-        """Cancel the timers that end faults."""
-        for timer in self.ends:
+        """Cancel the timers and tasks that end faults."""
+        for timer in self.end_timers:
             timer.cancel()
         for task in self.tasks:
             task.cancel()
 
     def server(self, name: str | None) -> BackendServer | None:
-        """Return a backend server by its name."""
+        """Return a backend server by name, or None if it is unknown."""
         for group in self.groups:
             if name in group.servers:
                 return group.servers[name]
         return None
 
     async def apply(self, fault: Fault) -> Outcome:
-        """Switch a fault.
+        """Inject or end a fault.
 
         Args:
-          fault: What to switch.
+          fault: The requested change.
         """
         server = self.server(fault.server)
         if fault.server is not None and server is None:
@@ -95,22 +96,22 @@
         return Accepted()
 
     def schedule_end(self, fault: Fault) -> None:
-        """End a fault after its seconds, if it has any."""
-        ending = ENDING.get(fault.kind)
-        if ending is None or fault.seconds is None:
+        """Schedule the end of a fault that has a duration."""
+        end_kind = END_KINDS.get(fault.kind)
+        if end_kind is None or fault.seconds is None:
             return
         loop = asyncio.get_running_loop()
-        end = Fault(ending, server=fault.server)
-        self.ends.append(loop.call_later(fault.seconds, self.end, end))
+        end = Fault(end_kind, server=fault.server)
+        self.end_timers.append(loop.call_later(fault.seconds, self.end, end))
 
     def end(self, fault: Fault) -> None:
-        """Apply the end of a fault."""
+        """Start a task that applies a fault that ends another one."""
         task = asyncio.get_running_loop().create_task(self.apply(fault))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def apply_to_store(self, fault: Fault) -> None:
-        """Switch a fault of the platform's service."""
+        """Inject or end a fault of the platform service."""
         match fault.kind:
             case FaultKind.STORE_STOP:
                 mode = StopMode.HANG if fault.hang else StopMode.REFUSE
@@ -123,20 +124,20 @@
                 self.store.lose_answers = fault.count
 
     def apply_to_vm(self, fault: Fault) -> Outcome:
-        """Change what the platform lists of a VM."""
+        """Change the state of a VM in the list of VMs or remove the VM."""
         name = fault.vm or ""
         now = asyncio.get_running_loop().time()
         if fault.kind is FaultKind.VM_DEAD:
-            known = self.vms.newest(name) is not None
+            vm_known = self.vms.newest(name) is not None
             self.vms.remove(name, now)
         else:
             leaving = fault.kind is FaultKind.VM_LEAVING
             state = VmState.LEAVING if leaving else VmState.LIVE
-            known = self.vms.set_state(name, state, now)
-        return Accepted() if known else Rejected(f"no VM {name!r}")
+            vm_known = self.vms.set_state(name, state, now)
+        return Accepted() if vm_known else Rejected(f"no VM {name!r}")
 
     async def heal(self, server: BackendServer | None) -> None:
-        """End all faults of one server, or everything if none is named."""
+        """End all faults of a server, or of all servers and the service."""
         if server is not None:
             await heal_server(server)
             return
@@ -146,24 +147,28 @@
                 await heal_server(member)
 
     def active(self) -> list[dict[str, Any]]:
-        """Return the faults that are in force."""
-        found: list[dict[str, Any]] = []
+        """Return the active faults as JSON objects."""
+        active_faults: list[dict[str, Any]] = []
         if self.store.stopped:
             hangs = self.store.mode is StopMode.HANG
-            found.append({"fault": FaultKind.STORE_STOP, "hang": hangs})
+            active_faults.append({"fault": FaultKind.STORE_STOP, "hang": hangs})
         if self.store.slow_seconds:
             seconds = self.store.slow_seconds
-            found.append({"fault": FaultKind.STORE_SLOW, "seconds": seconds})
+            active_faults.append(
+                {"fault": FaultKind.STORE_SLOW, "seconds": seconds}
+            )
         if self.store.lose_answers:
             count = self.store.lose_answers
-            found.append({"fault": FaultKind.STORE_LOSE_ANSWER, "count": count})
+            active_faults.append(
+                {"fault": FaultKind.STORE_LOSE_ANSWER, "count": count}
+            )
         for group in self.groups:
             for server in group.servers.values():
-                found.extend(active_on(server))
-        return found
+                active_faults.extend(active_faults_of(server))
+        return active_faults
 
     def servers(self) -> list[dict[str, Any]]:
-        """Return what each backend server is at the moment."""
+        """Return the state of each backend server as a JSON object."""
         return [
             {
                 "name": server.name,
@@ -182,31 +187,35 @@
         ]
 
 
-def active_on(server: BackendServer) -> list[dict[str, Any]]:
-    """Return the faults that are in force on a server."""
-    found: list[dict[str, Any]] = []
+def active_faults_of(server: BackendServer) -> list[dict[str, Any]]:
+    """Return the active faults of a server as JSON objects."""
+    active_faults: list[dict[str, Any]] = []
     if not server.up:
-        found.append({"fault": FaultKind.STOP})
+        active_faults.append({"fault": FaultKind.STOP})
     if server.paused:
-        found.append({"fault": FaultKind.PAUSE})
+        active_faults.append({"fault": FaultKind.PAUSE})
     from_servers = server.name in server.group.partitioned
     if server.partitioned and from_servers:
-        found.append({"fault": FaultKind.PARTITION, "links": Links.ALL})
+        active_faults.append({"fault": FaultKind.PARTITION, "links": Links.ALL})
     elif server.partitioned:
-        found.append({"fault": FaultKind.PARTITION, "links": Links.PROXIES})
+        active_faults.append(
+            {"fault": FaultKind.PARTITION, "links": Links.PROXIES}
+        )
     elif from_servers:
-        found.append({"fault": FaultKind.PARTITION, "links": Links.SERVERS})
+        active_faults.append(
+            {"fault": FaultKind.PARTITION, "links": Links.SERVERS}
+        )
     if server.lag_seconds != server.declared_lag_seconds:
         seconds = server.lag_seconds
-        found.append({"fault": FaultKind.LAG, "seconds": seconds})
+        active_faults.append({"fault": FaultKind.LAG, "seconds": seconds})
     if server.slow_seconds:
         seconds = server.slow_seconds
-        found.append({"fault": FaultKind.SLOW, "seconds": seconds})
-    return [{**item, "server": server.name} for item in found]
+        active_faults.append({"fault": FaultKind.SLOW, "seconds": seconds})
+    return [{**item, "server": server.name} for item in active_faults]
 
 
 async def heal_server(server: BackendServer) -> None:
-    """End all faults of a server and start it if it is stopped."""
+    """End all faults of a server and restart it if it is stopped."""
     server.resume()
     server.group.heal(server.name)
     server.slow_seconds = 0.0
@@ -215,7 +224,7 @@
 
 
 async def partition(server: BackendServer, fault: Fault) -> None:
-    """Make packets from and to a server vanish."""
+    """Drop packets from and to a server."""
     server.group.partition(
         server.name,
         from_proxies=fault.links is not Links.SERVERS,
@@ -224,12 +233,12 @@
 
 
 async def pause(server: BackendServer, fault: Fault) -> None:
-    """Pause a server's process."""
+    """Pause the process of a server."""
     server.pause()
 
 
 async def resume(server: BackendServer, fault: Fault) -> None:
-    """Resume a server's process."""
+    """Resume the process of a server."""
     server.resume()
 
 
@@ -239,22 +248,22 @@
 
 
 async def start(server: BackendServer, fault: Fault) -> None:
-    """Start a crashed server again."""
+    """Restart a crashed server."""
     await server.restart()
 
 
 async def lag(server: BackendServer, fault: Fault) -> None:
-    """Set a server's replication lag."""
+    """Set the replication lag of a server."""
     server.set_lag(fault.seconds or 0.0)
 
 
 async def silence(server: BackendServer, fault: Fault) -> None:
-    """Make a server's open connections silent."""
+    """Stop responding permanently on the open connections of a server."""
     server.silence()
 
 
 async def slow(server: BackendServer, fault: Fault) -> None:
-    """Make a server's statements slower."""
+    """Delay the statements of a server."""
     server.slow_seconds = fault.seconds or 0.0
 
 
