--- a/soak/fault_soak/cable.py
+++ b/soak/fault_soak/cable.py
@@ -4,7 +4,7 @@
 import enum
 
 
-class Fault(enum.Enum):
+class LinkFault(enum.Enum):
     """What is wrong with a cable."""
 
     NONE = "none"
@@ -21,7 +21,7 @@
 CHUNK_BYTES = 65_536
 
 
-class Cable:
+class FaultyLink:
     """Forwards connections to a port on this machine.
 
     Attributes:
@@ -33,13 +33,15 @@
     def __init__(self, target: int) -> None:
         self.target = target
         self.port = 0
-        self.fault = Fault.NONE
+        self.fault = LinkFault.NONE
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
         """Begin to forward."""
-        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(
+            self.handle_connection, "127.0.0.1", 0
+        )
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
@@ -48,14 +50,14 @@
             self.server.close()
         self.reset()
 
-    def set_fault(self, fault: Fault) -> None:
+    def set_fault(self, fault: LinkFault) -> None:
         """Change what is wrong with the cable.
 
         Args:
           fault: What is wrong from now on.
         """
         self.fault = fault
-        if fault is Fault.REFUSE:
+        if fault is LinkFault.REFUSE:
             self.reset()
 
     def reset(self) -> None:
@@ -63,48 +65,52 @@
         for writer in list(self.writers):
             writer.transport.abort()
 
-    async def serve(
+    async def handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Forward one connection."""
-        if self.fault is Fault.REFUSE:
+        if self.fault is LinkFault.REFUSE:
             writer.transport.abort()
             return
         try:
-            onward = await asyncio.open_connection("127.0.0.1", self.target)
+            upstream = await asyncio.open_connection("127.0.0.1", self.target)
         except OSError:
             writer.transport.abort()
             return
-        both = {writer, onward[1]}
-        self.writers |= both
+        connection_writers = {writer, upstream[1]}
+        self.writers |= connection_writers
         try:
             await asyncio.gather(
-                self.pump(reader, onward[1], (Fault.SILENT,)),
-                self.pump(onward[0], writer, (Fault.SILENT, Fault.NO_ANSWERS)),
+                self.relay_bytes(reader, upstream[1], (LinkFault.SILENT,)),
+                self.relay_bytes(
+                    upstream[0],
+                    writer,
+                    (LinkFault.SILENT, LinkFault.NO_ANSWERS),
+                ),
             )
         except OSError:
             # Either end is gone; the other one sees a reset.
             return
         finally:
-            self.writers -= both
-            for one in both:
-                one.transport.abort()
+            self.writers -= connection_writers
+            for open_writer in connection_writers:
+                open_writer.transport.abort()
 
-    async def pump(
+    async def relay_bytes(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        swallowed_by: tuple[Fault, ...],
+        dropped_by: tuple[LinkFault, ...],
     ) -> None:
         """Pass bytes one way until that end closes."""
-        swallowed = False
+        dropped = False
         while data := await reader.read(CHUNK_BYTES):
-            if self.fault is Fault.DELAY:
+            if self.fault is LinkFault.DELAY:
                 await asyncio.sleep(DELAY_SECONDS)
             # Once bytes are missing, later ones would be garbled.
-            swallowed = swallowed or self.fault in swallowed_by
-            if not swallowed:
+            dropped = dropped or self.fault in dropped_by
+            if not dropped:
                 writer.write(data)
                 await writer.drain()
-        if not swallowed:
+        if not dropped:
             writer.transport.abort()
--- a/soak/fault_soak/callers.py
+++ b/soak/fault_soak/callers.py
@@ -6,17 +6,17 @@
 
 import attrs
 
-from fault_soak.world import GROUP, World
+from fault_soak.world import GROUP, SoakEnvironment
 from jackdawcrank_standins.users_platform import LineAnswer, LineCaller
 
-PROMISES = frozenset(
+NOT_APPLIED_CODES = frozenset(
     {"BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "OVERLOAD"}
 )
-PAUSE_SECONDS = 0.02
+OPERATION_INTERVAL_SECONDS = 0.02
 
 
 @attrs.define
-class Memory:
+class CallHistory:
     """What callers were told, and what was wrong with it.
 
     Attributes:
@@ -27,9 +27,9 @@
       answers: Answers by code.
     """
 
-    kept: dict[str, str] = attrs.Factory(dict)
+    acknowledged: dict[str, str] = attrs.Factory(dict)
     refused: set[str] = attrs.Factory(set)
-    pairs: list[tuple[str, str]] = attrs.Factory(list)
+    transactions: list[tuple[str, str]] = attrs.Factory(list)
     broken: list[str] = attrs.Factory(list)
     answers: dict[str, int] = attrs.Factory(dict)
 
@@ -38,56 +38,62 @@
     """Writes items of its own and reads what anybody wrote."""
 
     def __init__(
-        self, name: str, world: World, memory: Memory, rng: random.Random
+        self,
+        name: str,
+        environment: SoakEnvironment,
+        history: CallHistory,
+        rng: random.Random,
     ) -> None:
         self.name = name
-        self.world = world
-        self.memory = memory
+        self.environment = environment
+        self.history = history
         self.rng = rng
-        self.numbers = itertools.count()
+        self.sequence_numbers = itertools.count()
         self.session: LineCaller | None = None
         self.database = ""
-        self.own: dict[str, str] = {}
+        self.session_writes: dict[str, str] = {}
 
     async def run(self) -> None:
         """Work until cancelled."""
         while True:
             try:
-                await self.step()
+                await self.run_operation()
             except (OSError, TimeoutError):
                 # The connection is gone, or the answer is not coming.
                 self.drop()
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(OPERATION_INTERVAL_SECONDS)
 
     def drop(self) -> None:
         """Let the connection go."""
         if self.session:
             self.session.writer.transport.abort()
         self.session = None
-        self.own = {}
+        self.session_writes = {}
 
-    async def step(self) -> None:
+    async def run_operation(self) -> None:
         """Do one operation."""
         if self.session is None:
             kind = self.rng.choice(["primary", "read_your_writes"])
             self.database = f"{GROUP}-{kind}"
-            proxy = self.rng.choice(self.world.proxies)
+            proxy = self.rng.choice(self.environment.proxies)
             session = await LineCaller.connect(proxy.port, self.database)
             if not session.greeting.startswith("READY"):
                 session.writer.transport.abort()
                 return
             self.session = session
-        work = self.rng.choice([self.write, self.read, self.read, self.pair])
-        await work(self.session)
+        operation = self.rng.choice(
+            [self.write, self.read, self.read, self.pair]
+        )
+        await operation(self.session)
 
     def next_item(self) -> str:
         """Return an item that nobody has written."""
-        return f"{self.name}.{next(self.numbers)}"
+        return f"{self.name}.{next(self.sequence_numbers)}"
 
     def count(self, answer: LineAnswer) -> None:
         """Count an answer."""
         code = answer.code or "done"
-        self.memory.answers[code] = self.memory.answers.get(code, 0) + 1
+        self.history.answers[code] = self.history.answers.get(code, 0) + 1
 
     async def write(self, session: LineCaller) -> None:
         """Write an item once."""
@@ -96,44 +102,56 @@
         self.count(answer)
         if not answer.code:
             if not answer.signature:
-                self.memory.broken.append(f"MIXED: {item} without signature")
-            self.memory.kept[item] = f"v-{item}"
-            self.own[item] = f"v-{item}"
-        elif answer.code in PROMISES:
-            self.memory.refused.add(item)
+                self.history.broken.append(f"MIXED: {item} without signature")
+            self.history.acknowledged[item] = f"v-{item}"
+            self.session_writes[item] = f"v-{item}"
+        elif answer.code in NOT_APPLIED_CODES:
+            self.history.refused.add(item)
 
     async def read(self, session: LineCaller) -> None:
         """Read an item that must be there."""
-        known = (
-            self.memory.kept if self.database.endswith("primary") else self.own
+        readable_items = (
+            self.history.acknowledged
+            if self.database.endswith("primary")
+            else self.session_writes
         )
-        if not known:
+        if not readable_items:
             return
-        item = self.rng.choice(list(known))
-        expected = known[item]
-        number = next(self.numbers)
+        item = self.rng.choice(list(readable_items))
+        expected = readable_items[item]
+        number = next(self.sequence_numbers)
         answer = await session.ask(f"READ {item}", f"r-{self.name}-{number}")
         self.count(answer)
         if not answer.code and answer.rows != [expected]:
-            self.memory.broken.append(
+            self.history.broken.append(
                 f"STALE: {item} read as {answer.rows} on {self.database}"
             )
 
     async def pair(self, session: LineCaller) -> None:
         """Write two items in a transaction."""
-        one, two = self.next_item(), self.next_item()
-        for text in ("BEGIN", f"WRITE {one} v-{one}", f"WRITE {two} v-{two}"):
-            answer = await session.ask(text, f"t-{one}")
+        first_item, second_item = self.next_item(), self.next_item()
+        for text in (
+            "BEGIN",
+            f"WRITE {first_item} v-{first_item}",
+            f"WRITE {second_item} v-{second_item}",
+        ):
+            answer = await session.ask(text, f"t-{first_item}")
             if answer.code:
                 self.count(answer)
-                await session.ask("ROLLBACK", f"t-{one}")
-                self.memory.refused |= {one, two}
+                await session.ask("ROLLBACK", f"t-{first_item}")
+                self.history.refused |= {first_item, second_item}
                 return
-        self.memory.pairs.append((one, two))
-        answer = await session.ask("COMMIT", f"t-{one}")
+        self.history.transactions.append((first_item, second_item))
+        answer = await session.ask("COMMIT", f"t-{first_item}")
         self.count(answer)
         if not answer.code:
-            self.memory.kept |= {one: f"v-{one}", two: f"v-{two}"}
-            self.own |= {one: f"v-{one}", two: f"v-{two}"}
-        elif answer.code in PROMISES:
-            self.memory.refused |= {one, two}
+            self.history.acknowledged |= {
+                first_item: f"v-{first_item}",
+                second_item: f"v-{second_item}",
+            }
+            self.session_writes |= {
+                first_item: f"v-{first_item}",
+                second_item: f"v-{second_item}",
+            }
+        elif answer.code in NOT_APPLIED_CODES:
+            self.history.refused |= {first_item, second_item}
--- a/soak/fault_soak/run.py
+++ b/soak/fault_soak/run.py
@@ -10,17 +10,17 @@
 import attrs
 import click
 
-from fault_soak.cable import Fault
-from fault_soak.callers import Caller, Memory
-from fault_soak.faults import Faults
-from fault_soak.world import GROUP, World
+from fault_soak.cable import LinkFault
+from fault_soak.callers import Caller, CallHistory
+from fault_soak.faults import RandomFaults
+from fault_soak.world import GROUP, SoakEnvironment
 
 # A change of primary is over in 7 s at the latest.
-CALM_SECONDS = 8.0
+RECOVERY_SECONDS = 8.0
 
 
 @attrs.frozen
-class Verdict:
+class SoakResult:
     """What one run showed.
 
     Attributes:
@@ -37,12 +37,12 @@
     answers: dict[str, int]
     promotions: int
     faults: tuple[str, ...]
-    folder: pathlib.Path
+    run_directory: pathlib.Path
 
 
 async def soak(
     seed: int, seconds: float, proxies: int, callers: int
-) -> Verdict:
+) -> SoakResult:
     """Play one seed and judge it.
 
     Args:
@@ -52,35 +52,35 @@
       callers: Callers at once.
     """
     rng = random.Random(seed)
-    folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-    world = World(folder, proxies, rng)
-    memory = Memory()
-    faults = Faults(world)
+    run_directory = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
+    environment = SoakEnvironment(run_directory, proxies, rng)
+    history = CallHistory()
+    faults = RandomFaults(environment)
     try:
-        await world.start()
-        work = [
+        await environment.start()
+        caller_tasks = [
             asyncio.create_task(
                 Caller(
-                    f"c{n}", world, memory, random.Random(f"{seed}-{n}")
+                    f"c{n}", environment, history, random.Random(f"{seed}-{n}")
                 ).run()
             )
             for n in range(callers)
         ]
-        striking = asyncio.create_task(faults.run())
+        injection = asyncio.create_task(faults.run())
         await asyncio.sleep(seconds)
-        await stop([striking])
-        await calm(world)
-        await stop(work)
-        judge(world, memory)
+        await stop([injection])
+        await end_faults_and_recover(environment)
+        await stop(caller_tasks)
+        check_history(environment, history)
     finally:
-        await world.close()
-    return Verdict(
+        await environment.close()
+    return SoakResult(
         seed,
-        tuple(memory.broken),
-        memory.answers,
-        world.platform.groups[GROUP].term - 1,
-        tuple(faults.told),
-        folder,
+        tuple(history.broken),
+        history.answers,
+        environment.platform.groups[GROUP].term - 1,
+        tuple(faults.injected),
+        run_directory,
     )
 
 
@@ -93,47 +93,49 @@
             raise outcome
 
 
-async def calm(world: World) -> None:
+async def end_faults_and_recover(environment: SoakEnvironment) -> None:
     """End all faults and wait until the system has recovered."""
-    platform = world.platform
+    platform = environment.platform
     platform.lose_orders = 0
-    for cable in platform.cables.values():
-        cable.set_fault(Fault.NONE)
+    for link in platform.links.values():
+        link.set_fault(LinkFault.NONE)
     for server in platform.groups[GROUP].servers.values():
         server.deaf = server.draining = False
         server.lost_answers = 0
         if not server.running:
             await server.start()
         server.report()
-    for proxy in world.proxies:
-        world.signal(proxy, signal.SIGCONT)
+    for proxy in environment.proxies:
+        environment.signal(proxy, signal.SIGCONT)
         if proxy.process and proxy.process.returncode is not None:
-            await world.start_proxy(proxy)
-    await asyncio.sleep(CALM_SECONDS)
+            await environment.start_proxy(proxy)
+    await asyncio.sleep(RECOVERY_SECONDS)
 
 
-def judge(world: World, memory: Memory) -> None:
+def check_history(environment: SoakEnvironment, history: CallHistory) -> None:
     """Compare what callers were told with what the primary holds."""
-    primary = world.platform.groups[GROUP].primary()
+    primary = environment.platform.groups[GROUP].primary()
     if primary is None:
-        memory.broken.append("RECOVER: no primary after the calm")
+        history.broken.append("RECOVER: no primary after the calm")
         return
-    writes = [one for commit in primary.log for one in commit.writes]
+    writes = [write for commit in primary.log for write in commit.writes]
     held = dict(writes)
     counts: dict[str, int] = {}
     for item, _ in writes:
         counts[item] = counts.get(item, 0) + 1
-    for item, value in memory.kept.items():
+    for item, value in history.acknowledged.items():
         if held.get(item) != value:
-            memory.broken.append(f"LOST: {item} was acknowledged")
-    for item in memory.refused & held.keys():
-        memory.broken.append(f"REFUSED: {item} is kept all the same")
+            history.broken.append(f"LOST: {item} was acknowledged")
+    for item in history.refused & held.keys():
+        history.broken.append(f"REFUSED: {item} is kept all the same")
     for item, count in counts.items():
         if count > 1:
-            memory.broken.append(f"TWICE: {item} took effect {count} times")
-    for one, two in memory.pairs:
-        if (one in held) != (two in held):
-            memory.broken.append(f"PINNED: only one of {one}, {two} is kept")
+            history.broken.append(f"TWICE: {item} took effect {count} times")
+    for first_item, second_item in history.transactions:
+        if (first_item in held) != (second_item in held):
+            history.broken.append(
+                f"PINNED: only one of {first_item}, {second_item} is kept"
+            )
 
 
 def parse_seeds(text: str) -> list[int]:
@@ -160,27 +162,27 @@
 ) -> None:
     """Play seeds and print a verdict a line; status 1 if one is broken."""
 
-    async def play() -> int:
-        gate = asyncio.Semaphore(jobs)
-        bad = 0
+    async def run_seeds() -> int:
+        concurrency_limit = asyncio.Semaphore(jobs)
+        failed_seeds = 0
 
-        async def one(seed: int) -> None:
-            nonlocal bad
-            async with gate:
-                verdict = await soak(seed, seconds, proxies, callers)
-            bad += bool(verdict.broken)
-            word = "BROKEN" if verdict.broken else "kept"
+        async def run_seed(seed: int) -> None:
+            nonlocal failed_seeds
+            async with concurrency_limit:
+                result = await soak(seed, seconds, proxies, callers)
+            failed_seeds += bool(result.broken)
+            status = "BROKEN" if result.broken else "kept"
             click.echo(
-                f"seed {seed}: {word}; answers {verdict.answers}; "
-                f"promotions {verdict.promotions}; logs {verdict.folder}"
+                f"seed {seed}: {status}; answers {result.answers}; "
+                f"promotions {result.promotions}; logs {result.run_directory}"
             )
-            for text in verdict.broken[:5]:
-                click.echo(f"  {text}")
+            for violation in result.broken[:5]:
+                click.echo(f"  {violation}")
 
-        await asyncio.gather(*(one(seed) for seed in parse_seeds(seeds)))
-        return bad
+        await asyncio.gather(*(run_seed(seed) for seed in parse_seeds(seeds)))
+        return failed_seeds
 
-    sys.exit(1 if asyncio.run(play()) else 0)
+    sys.exit(1 if asyncio.run(run_seeds()) else 0)
 
 
 if __name__ == "__main__":
--- a/soak/fault_soak/world.py
+++ b/soak/fault_soak/world.py
@@ -10,17 +10,17 @@
 
 import attrs
 
-from fault_soak.cable import Cable
+from fault_soak.cable import FaultyLink
 from jackdawcrank_platform.boot_file import PATH_VARIABLE
 from jackdawcrank_standins.users_platform import LineServer, StandinPlatform
 
 ZONES = ("north-a", "south-a", "west-a")
 GROUP = "plots"
-START_SECONDS = 20.0
+START_TIMEOUT_SECONDS = 20.0
 
 
 @attrs.define(eq=False)
-class Proxy:
+class ProxyProcess:
     """A proxy process.
 
     Attributes:
@@ -38,7 +38,7 @@
     process: Process | None = None
 
 
-class CabledPlatform(StandinPlatform):
+class FaultyLinkPlatform(StandinPlatform):
     """The stand-in platform with a cable before each part.
 
     Attributes:
@@ -47,35 +47,35 @@
 
     def __init__(self) -> None:
         super().__init__((GROUP,))
-        self.cables: dict[str, Cable] = {}
+        self.links: dict[str, FaultyLink] = {}
 
     async def start(self) -> None:
         """Start the platform and the store's cable."""
         await super().start()
-        self.cables["store"] = Cable(self.store.port)
-        await self.cables["store"].start()
+        self.links["store"] = FaultyLink(self.store.port)
+        await self.links["store"].start()
         for server in self.groups[GROUP].servers.values():
-            cable = Cable(server.port)
-            await cable.start()
-            self.cables[server.server_id] = cable
+            link = FaultyLink(server.port)
+            await link.start()
+            self.links[server.server_id] = link
             server.report()
 
     def report(self, server: LineServer) -> None:
         """Write a server's entry, with its cable as the address."""
-        cable = self.cables.get(server.server_id)
+        link = self.links.get(server.server_id)
         self.address_ports[server.server_id] = (
-            cable.port if cable else server.port
+            link.port if link else server.port
         )
         super().report(server)
 
     async def close(self) -> None:
         """Stop everything."""
-        for cable in self.cables.values():
-            await cable.close()
+        for link in self.links.values():
+            await link.close()
         await super().close()
 
 
-class World:
+class SoakEnvironment:
     """Starts, stops and finds the parts.
 
     Attributes:
@@ -85,37 +85,37 @@
     """
 
     def __init__(
-        self, folder: pathlib.Path, proxies: int, rng: random.Random
+        self, run_directory: pathlib.Path, proxies: int, rng: random.Random
     ) -> None:
-        self.folder = folder
+        self.run_directory = run_directory
         self.rng = rng
-        self.count = proxies
-        self.platform = CabledPlatform()
-        self.proxies: list[Proxy] = []
+        self.proxy_count = proxies
+        self.platform = FaultyLinkPlatform()
+        self.proxies: list[ProxyProcess] = []
 
     async def start(self) -> None:
         """Start the platform and every proxy, and wait until they serve."""
         await self.platform.start()
-        store_port = self.platform.cables["store"].port
-        for number in range(self.count):
+        store_port = self.platform.links["store"].port
+        for number in range(self.proxy_count):
             vm = f"vm{number}"
-            path = self.folder / f"{vm}.toml"
+            path = self.run_directory / f"{vm}.toml"
             port = self.platform.write_boot_file(
                 path, vm, ZONES[number % len(ZONES)]
             )
-            text = path.read_text().replace(
+            settings_text = path.read_text().replace(
                 f":{self.platform.store.port}", f":{store_port}"
             )
-            path.write_text(text)
-            log = self.folder / f"{vm}.log"
-            proxy = Proxy(vm, port, path, log)
+            path.write_text(settings_text)
+            log = self.run_directory / f"{vm}.log"
+            proxy = ProxyProcess(vm, port, path, log)
             self.proxies.append(proxy)
             await self.start_proxy(proxy)
-        async with asyncio.timeout(START_SECONDS):
+        async with asyncio.timeout(START_TIMEOUT_SECONDS):
             for proxy in self.proxies:
-                await self.wait_for(proxy)
+                await self.wait_until_accepting(proxy)
 
-    async def start_proxy(self, proxy: Proxy) -> None:
+    async def start_proxy(self, proxy: ProxyProcess) -> None:
         """Start a proxy's process."""
         with proxy.log.open("ab") as log:
             proxy.process = await asyncio.create_subprocess_exec(
@@ -127,7 +127,7 @@
                 stderr=log,
             )
 
-    async def wait_for(self, proxy: Proxy) -> None:
+    async def wait_until_accepting(self, proxy: ProxyProcess) -> None:
         """Wait until a proxy accepts connections."""
         while True:
             try:
@@ -140,7 +140,7 @@
             writer.close()
             return
 
-    def signal(self, proxy: Proxy, number: signal.Signals) -> None:
+    def signal(self, proxy: ProxyProcess, number: signal.Signals) -> None:
         """Send a signal to a process that this run started."""
         if proxy.process and proxy.process.returncode is None:
             proxy.process.send_signal(number)
