--- a/soak/fault_soak/__init__.py
+++ b/soak/fault_soak/__init__.py
@@ -1,4 +1,4 @@
-"""A randomized fault soak of real proxy processes.
+"""Randomized fault-injection soak test of real proxy processes.
 
 See `docs/soak.md`.
 """
--- a/soak/fault_soak/cable.py
+++ b/soak/fault_soak/cable.py
@@ -1,20 +1,20 @@
-"""A loopback connection that can be delayed, reset, silenced or cut one way."""
+"""TCP forwarder on loopback that injects network faults."""
 
 import asyncio
 import enum
 
 
 class LinkFault(enum.Enum):
-    """What is wrong with a cable."""
+    """A network fault that a link can simulate."""
 
     NONE = "none"
     DELAY = "delay"
     SILENT = "silent"
-    """Takes bytes and passes none on, either way."""
+    """Accepts bytes in both directions but forwards none."""
     NO_ANSWERS = "no_answers"
-    """Passes requests on, and no answers."""
+    """Forwards requests but drops responses."""
     REFUSE = "refuse"
-    """Ends every connection at once."""
+    """Resets every open and new connection immediately."""
 
 
 DELAY_SECONDS = 0.15
@@ -22,12 +22,12 @@
 
 
 class FaultyLink:
-    """Forwards connections to a port on this machine.
+    """Forwards TCP connections to a loopback port, with optional faults.
 
     Attributes:
-      port: Where it listens.
-      target: Where it forwards to.
-      fault: What is wrong with it now.
+      port: Listening port; 0 until started.
+      target: Port that connections are forwarded to.
+      fault: Currently simulated fault.
     """
 
     def __init__(self, target: int) -> None:
@@ -38,23 +38,24 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Begin to forward."""
+        """Start listening and forwarding."""
         self.server = await asyncio.start_server(
             self.handle_connection, "127.0.0.1", 0
         )
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Stop forwarding."""
+        """Stop listening and reset all open connections."""
         if self.server:
             self.server.close()
         self.reset()
 
     def set_fault(self, fault: LinkFault) -> None:
-        """Change what is wrong with the cable.
+        """Set the simulated fault.
 
         Args:
-          fault: What is wrong from now on.
+          fault: Fault to simulate from now on; `REFUSE` also resets all open
+            connections.
         """
         self.fault = fault
         if fault is LinkFault.REFUSE:
@@ -68,7 +69,7 @@
     async def handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Forward one connection."""
+        """Forward one connection in both directions until it closes."""
         if self.fault is LinkFault.REFUSE:
             writer.transport.abort()
             return
@@ -89,7 +90,7 @@
                 ),
             )
         except OSError:
-            # Either end is gone; the other one sees a reset.
+            # One end failed; the `finally` block resets the other one.
             return
         finally:
             self.writers -= connection_writers
@@ -102,12 +103,19 @@
         writer: asyncio.StreamWriter,
         dropped_by: tuple[LinkFault, ...],
     ) -> None:
-        """Pass bytes one way until that end closes."""
+        """Relay bytes in one direction until the sender closes.
+
+        Args:
+          reader: Connection to read from.
+          writer: Connection to write to.
+          dropped_by: Faults that drop bytes in this direction.
+        """
         dropped = False
         while data := await reader.read(CHUNK_BYTES):
             if self.fault is LinkFault.DELAY:
                 await asyncio.sleep(DELAY_SECONDS)
-            # Once bytes are missing, later ones would be garbled.
+            # After a gap in the stream, later bytes would arrive as corrupt
+            # messages, so everything that follows is dropped too.
             dropped = dropped or self.fault in dropped_by
             if not dropped:
                 writer.write(data)
--- a/soak/fault_soak/callers.py
+++ b/soak/fault_soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that remember what they were told, and check it."""
+"""Callers that record the answers they receive and verify later reads."""
 
 import asyncio
 import itertools
@@ -17,14 +17,15 @@
 
 @attrs.define
 class CallHistory:
-    """What callers were told, and what was wrong with it.
+    """Answers recorded by all callers, and violations found in them.
 
     Attributes:
-      kept: Acknowledged writes: item to value.
-      refused: Items of writes of which nothing may be kept.
-      pairs: Transactions: the items that stand together or not at all.
-      broken: Promises that were broken, in words.
-      answers: Answers by code.
+      acknowledged: Acknowledged writes, item to value.
+      refused: Items whose writes were refused and must not be stored.
+      transactions: Pairs of items written in one transaction; either both or
+        neither must be stored.
+      broken: Descriptions of violated guarantees.
+      answers: Number of answers by code; successful ones under `done`.
     """
 
     acknowledged: dict[str, str] = attrs.Factory(dict)
@@ -35,7 +36,11 @@
 
 
 class Caller:
-    """Writes items of its own and reads what anybody wrote."""
+    """Writes unique items and reads acknowledged ones.
+
+    Connections to the primary database read items of all callers; those with
+    read-your-writes consistency read only items of the current session.
+    """
 
     def __init__(
         self,
@@ -54,24 +59,24 @@
         self.session_writes: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run operations until cancelled."""
         while True:
             try:
                 await self.run_operation()
             except (OSError, TimeoutError):
-                # The connection is gone, or the answer is not coming.
+                # The connection was lost or the answer timed out.
                 self.drop()
             await asyncio.sleep(OPERATION_INTERVAL_SECONDS)
 
     def drop(self) -> None:
-        """Let the connection go."""
+        """Abort the connection and forget the writes of its session."""
         if self.session:
             self.session.writer.transport.abort()
         self.session = None
         self.session_writes = {}
 
     async def run_operation(self) -> None:
-        """Do one operation."""
+        """Run one random operation, connecting first if necessary."""
         if self.session is None:
             kind = self.rng.choice(["primary", "read_your_writes"])
             self.database = f"{GROUP}-{kind}"
@@ -87,16 +92,16 @@
         await operation(self.session)
 
     def next_item(self) -> str:
-        """Return an item that nobody has written."""
+        """Return the name of an item that has never been written."""
         return f"{self.name}.{next(self.sequence_numbers)}"
 
     def count(self, answer: LineAnswer) -> None:
-        """Count an answer."""
+        """Count an answer by its code."""
         code = answer.code or "done"
         self.history.answers[code] = self.history.answers.get(code, 0) + 1
 
     async def write(self, session: LineCaller) -> None:
-        """Write an item once."""
+        """Write a new item once and record the answer."""
         item = self.next_item()
         answer = await session.ask(f"WRITE {item} v-{item}", f"w-{item}")
         self.count(answer)
@@ -109,7 +114,7 @@
             self.history.refused.add(item)
 
     async def read(self, session: LineCaller) -> None:
-        """Read an item that must be there."""
+        """Read an item that must be visible and check its value."""
         readable_items = (
             self.history.acknowledged
             if self.database.endswith("primary")
@@ -128,7 +133,7 @@
             )
 
     async def pair(self, session: LineCaller) -> None:
-        """Write two items in a transaction."""
+        """Write two new items in one transaction and record the answer."""
         first_item, second_item = self.next_item(), self.next_item()
         for text in (
             "BEGIN",
--- a/soak/fault_soak/faults.py
+++ b/soak/fault_soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside, in series and overlapping."""
+"""Random fault injection into proxies, backend servers and links."""
 
 import asyncio
 import signal
@@ -13,11 +13,11 @@
 
 
 class RandomFaults:
-    """Picks faults by the run's seed.
+    """Injects random faults chosen by the random generator of the run.
 
     Attributes:
-      world: What they strike.
-      told: What was done, in order.
+      environment: Environment that faults are injected into.
+      injected: Names of the injected faults, in order.
     """
 
     def __init__(self, environment: SoakEnvironment) -> None:
@@ -42,13 +42,13 @@
         ]
 
     async def run(self) -> None:
-        """Strike until cancelled; up to two faults overlap."""
+        """Inject faults until cancelled; at most two overlap."""
         async with asyncio.TaskGroup() as group:
             for _ in range(2):
                 group.create_task(self.inject_repeatedly())
 
     async def inject_repeatedly(self) -> None:
-        """Strike one fault after the other."""
+        """Inject one fault after another until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(*FAULT_INTERVAL_SECONDS))
             fault = self.rng.choice(self.injectors)
@@ -56,27 +56,30 @@
             await fault()
 
     async def wait_fault_duration(self) -> None:
-        """Wait as long as a fault lasts."""
+        """Wait for a random fault duration."""
         await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_SECONDS))
 
     def proxy(self) -> ProxyProcess:
-        """Return any proxy."""
+        """Return a random proxy."""
         return self.rng.choice(self.environment.proxies)
 
     async def kill(self) -> None:
-        """Kill a proxy and start it again."""
+        """Kill a proxy with SIGKILL and restart it."""
         proxy = self.proxy()
         self.environment.signal(proxy, signal.SIGKILL)
         await self.restart_after_exit(proxy)
 
     async def restart(self) -> None:
-        """Stop a proxy in order and start it again."""
+        """Shut a proxy down with SIGTERM and restart it."""
         proxy = self.proxy()
         self.environment.signal(proxy, signal.SIGTERM)
         await self.restart_after_exit(proxy)
 
     async def restart_after_exit(self, proxy: ProxyProcess) -> None:
-        """Start a proxy again once its process has ended."""
+        """Restart a proxy after its process has exited.
+
+        A process that does not exit within `EXIT_TIMEOUT_SECONDS` is killed.
+        """
         process = proxy.process
         if process is None:
             return
@@ -90,29 +93,29 @@
             await self.environment.start_proxy(proxy)
 
     async def pause(self) -> None:
-        """Stop a proxy's processor for a while."""
+        """Suspend a proxy process with SIGSTOP, then resume it."""
         proxy = self.proxy()
         self.environment.signal(proxy, signal.SIGSTOP)
         await self.wait_fault_duration()
         self.environment.signal(proxy, signal.SIGCONT)
 
     async def reload(self) -> None:
-        """Tell a proxy that its settings changed."""
+        """Send SIGHUP to a proxy so that it reloads its settings."""
         self.environment.signal(self.proxy(), signal.SIGHUP)
 
     async def cable(self) -> None:
-        """Harm the way to a server."""
+        """Inject a random fault into the link to a random server."""
         name = self.rng.choice(
             list(self.environment.platform.groups[GROUP].servers)
         )
         await self.degrade_link(name)
 
     async def store(self) -> None:
-        """Harm the way to the store."""
+        """Inject a random fault into the link to the store."""
         await self.degrade_link("store")
 
     async def degrade_link(self, name: str) -> None:
-        """Harm a cable for a while."""
+        """Apply a random fault to a link, then clear it and reset the link."""
         link = self.environment.platform.links[name]
         link.set_fault(self.rng.choice(list(LinkFault)))
         self.injected[-1] += f" {name} {link.fault.value}"
@@ -121,12 +124,15 @@
         link.reset()
 
     async def reset(self) -> None:
-        """Reset the connections of one cable."""
+        """Reset all connections of a random link."""
         links = self.environment.platform.links
         links[self.rng.choice(list(links))].reset()
 
     async def crash(self) -> None:
-        """Crash a server; it comes back with its log."""
+        """Crash a server and restart it with its log preserved.
+
+        Does nothing while another server is down.
+        """
         group = self.environment.platform.groups[GROUP]
         running = [
             candidate
@@ -145,7 +151,7 @@
         server.report()
 
     async def release(self) -> None:
-        """Have a server announce that it leaves, and stay after all."""
+        """Have a server announce a drain and later withdraw it."""
         group = self.environment.platform.groups[GROUP]
         server = self.rng.choice(list(group.servers.values()))
         server.draining = True
@@ -155,7 +161,7 @@
         server.report()
 
     async def deaf(self) -> None:
-        """Let a replica receive nothing."""
+        """Stop a server from receiving replicated commits for a while."""
         group = self.environment.platform.groups[GROUP]
         server = self.rng.choice(list(group.servers.values()))
         server.deaf = True
@@ -163,20 +169,20 @@
         server.deaf = False
 
     async def lose_answers(self) -> None:
-        """Lose the answers of some statements."""
+        """Drop the answers to the next three requests with a request id."""
         group = self.environment.platform.groups[GROUP]
         server = self.rng.choice(list(group.servers.values()))
         server.lost_answers = 3
 
     async def lose_orders(self) -> None:
-        """Carry promotions out late and without an answer."""
+        """Execute the next promotion late and drop its answer."""
         self.environment.platform.lose_orders = 1
         self.environment.platform.hold_orders = self.rng.uniform(0.0, 2.0)
 
     async def configure(self) -> None:
-        """Write the next configuration."""
+        """Write the next configuration version."""
         self.environment.platform.configure()
 
     async def forget_history(self) -> None:
-        """Drop the store's record of changes."""
+        """Drop the change history of the store."""
         self.environment.platform.store.forget_history()
--- a/soak/fault_soak/run.py
+++ b/soak/fault_soak/run.py
@@ -1,4 +1,4 @@
-"""Runs the soak: `python -m fault_soak.run --seeds 1-50 --seconds 20`."""
+"""Runs the fault soak: `python -m fault_soak.run --seeds 1-50 --seconds 20`."""
 
 import asyncio
 import pathlib
@@ -15,21 +15,21 @@
 from fault_soak.faults import RandomFaults
 from fault_soak.world import GROUP, SoakEnvironment
 
-# A change of primary is over in 7 s at the latest.
+# A failover takes at most 7 s.
 RECOVERY_SECONDS = 8.0
 
 
 @attrs.frozen
 class SoakResult:
-    """What one run showed.
+    """Result of one run.
 
     Attributes:
-      seed: Its seed.
-      broken: The promises that were broken, in words.
-      answers: Answers by code.
-      promotions: Changes of primary.
-      faults: What was done, in order.
-      folder: Where the logs lie.
+      seed: Seed of the run.
+      broken: Descriptions of violated guarantees.
+      answers: Number of answers by code.
+      promotions: Number of changes of primary.
+      faults: Names of the injected faults, in order.
+      run_directory: Directory with the settings and logs of the proxies.
     """
 
     seed: int
@@ -43,13 +43,13 @@
 async def soak(
     seed: int, seconds: float, proxies: int, callers: int
 ) -> SoakResult:
-    """Play one seed and judge it.
+    """Run the soak with one seed and check the recorded history.
 
     Args:
-      seed: Decides the faults and the callers' choices.
-      seconds: How long faults strike.
-      proxies: Proxy processes.
-      callers: Callers at once.
+      seed: Seed for the choice of faults and caller operations.
+      seconds: Duration of fault injection, in seconds.
+      proxies: Number of proxy processes.
+      callers: Number of concurrent callers.
     """
     rng = random.Random(seed)
     run_directory = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
@@ -85,7 +85,11 @@
 
 
 async def stop(tasks: "list[asyncio.Task[None]]") -> None:
-    """Cancel tasks; pass on what went wrong in them."""
+    """Cancel tasks and wait for them.
+
+    Raises:
+      Exception: The first error raised by a task, other than cancellation.
+    """
     for task in tasks:
         task.cancel()
     for outcome in await asyncio.gather(*tasks, return_exceptions=True):
@@ -94,7 +98,7 @@
 
 
 async def end_faults_and_recover(environment: SoakEnvironment) -> None:
-    """End all faults and wait until the system has recovered."""
+    """Clear all faults, restart what is down and wait for recovery."""
     platform = environment.platform
     platform.lose_orders = 0
     for link in platform.links.values():
@@ -113,10 +117,10 @@
 
 
 def check_history(environment: SoakEnvironment, history: CallHistory) -> None:
-    """Compare what callers were told with what the primary holds."""
+    """Compare the answers of callers with the log of the primary."""
     primary = environment.platform.groups[GROUP].primary()
     if primary is None:
-        history.broken.append("RECOVER: no primary after the calm")
+        history.broken.append("RECOVER: no primary after the recovery time")
         return
     writes = [write for commit in primary.log for write in commit.writes]
     held = dict(writes)
@@ -125,24 +129,26 @@
         counts[item] = counts.get(item, 0) + 1
     for item, value in history.acknowledged.items():
         if held.get(item) != value:
-            history.broken.append(f"LOST: {item} was acknowledged")
+            history.broken.append(
+                f"LOST: {item} was acknowledged but its value is not stored"
+            )
     for item in history.refused & held.keys():
-        history.broken.append(f"REFUSED: {item} is kept all the same")
+        history.broken.append(f"REFUSED: {item} was refused but is stored")
     for item, count in counts.items():
         if count > 1:
-            history.broken.append(f"TWICE: {item} took effect {count} times")
+            history.broken.append(f"TWICE: {item} was applied {count} times")
     for first_item, second_item in history.transactions:
         if (first_item in held) != (second_item in held):
             history.broken.append(
-                f"PINNED: only one of {first_item}, {second_item} is kept"
+                f"PINNED: only one of {first_item}, {second_item} is stored"
             )
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Return the seeds written as `3,5-9`.
+    """Parse a list of seeds and seed ranges such as `3,5-9`.
 
     Args:
-      text: The written form.
+      text: Comma-separated seeds and inclusive ranges.
     """
     seeds: list[int] = []
     for part in text.split(","):
@@ -160,7 +166,7 @@
 def main(
     seeds: str, seconds: float, proxies: int, callers: int, jobs: int
 ) -> None:
-    """Play seeds and print a verdict a line; status 1 if one is broken."""
+    """Run the seeds and print one result per line; exit 1 on any violation."""
 
     async def run_seeds() -> int:
         concurrency_limit = asyncio.Semaphore(jobs)
--- a/soak/fault_soak/world.py
+++ b/soak/fault_soak/world.py
@@ -1,4 +1,4 @@
-"""The processes, servers and cables of one run."""
+"""Proxy processes, backend servers and links of one soak run."""
 
 import asyncio
 import os
@@ -24,11 +24,11 @@
     """A proxy process.
 
     Attributes:
-      vm: Its VM's name.
-      port: Where callers connect.
-      boot_file: Its settings.
-      log: Where its output goes.
-      process: The process, while there is one.
+      vm: Name of its VM.
+      port: Port that callers connect to.
+      boot_file: Path of its settings file.
+      log: Path of the file that receives its output.
+      process: Most recently started process, if any.
     """
 
     vm: str
@@ -39,10 +39,10 @@
 
 
 class FaultyLinkPlatform(StandinPlatform):
-    """The stand-in platform with a cable before each part.
+    """Stand-in platform reached through a faulty link to each component.
 
     Attributes:
-      cables: The cables by server id, and the store's under `store`.
+      links: Links by server id; the link to the store is under `store`.
     """
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
         self.links: dict[str, FaultyLink] = {}
 
     async def start(self) -> None:
-        """Start the platform and the store's cable."""
+        """Start the platform and the links to its store and servers."""
         await super().start()
         self.links["store"] = FaultyLink(self.store.port)
         await self.links["store"].start()
@@ -61,7 +61,7 @@
             server.report()
 
     def report(self, server: LineServer) -> None:
-        """Write a server's entry, with its cable as the address."""
+        """Write the entry of a server with its link as the address."""
         link = self.links.get(server.server_id)
         self.address_ports[server.server_id] = (
             link.port if link else server.port
@@ -69,19 +69,19 @@
         super().report(server)
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop the links, then the platform."""
         for link in self.links.values():
             await link.close()
         await super().close()
 
 
 class SoakEnvironment:
-    """Starts, stops and finds the parts.
+    """Starts and stops the platform and the proxies of one run.
 
     Attributes:
-      platform: The stand-in platform.
-      proxies: The proxies.
-      rng: Where all chances come from.
+      platform: Stand-in platform.
+      proxies: Proxy processes.
+      rng: Random generator for the choice of faults.
     """
 
     def __init__(
@@ -94,7 +94,11 @@
         self.proxies: list[ProxyProcess] = []
 
     async def start(self) -> None:
-        """Start the platform and every proxy, and wait until they serve."""
+        """Start the platform and the proxies.
+
+        Raises:
+          TimeoutError: A proxy did not accept connections in time.
+        """
         await self.platform.start()
         store_port = self.platform.links["store"].port
         for number in range(self.proxy_count):
@@ -116,7 +120,7 @@
                 await self.wait_until_accepting(proxy)
 
     async def start_proxy(self, proxy: ProxyProcess) -> None:
-        """Start a proxy's process."""
+        """Start the process of a proxy."""
         with proxy.log.open("ab") as log:
             proxy.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -141,12 +145,12 @@
             return
 
     def signal(self, proxy: ProxyProcess, number: signal.Signals) -> None:
-        """Send a signal to a process that this run started."""
+        """Send a signal to a proxy process if it is running."""
         if proxy.process and proxy.process.returncode is None:
             proxy.process.send_signal(number)
 
     async def close(self) -> None:
-        """End every process that this run started, then the platform."""
+        """Kill all proxy processes, then stop the platform."""
         for proxy in self.proxies:
             self.signal(proxy, signal.SIGKILL)
             if proxy.process:
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -1,14 +1,15 @@
-"""A short run of the soak, and seeds that once failed."""
+"""Short soak runs, including seeds that failed in the past."""
 
 import pytest
 
 from fault_soak.run import parse_seeds, soak
 
 
-# 15 and 17 once failed: callers reached the proxy of another world that had
-# taken the port; ports are now given out once.
-# 51 once failed (LOST): the stand-in acknowledged a commit that had waited for
-# frozen replicas when its server lost the lead; a server may not.
+# Seeds 15 and 17 failed because callers reached a proxy of another soak run
+# that had taken the same port; each port is now allocated only once.
+# Seed 51 failed (LOST) because the stand-in acknowledged a commit that was
+# waiting for frozen replicas after its server had ceased to be the primary. A
+# server must not acknowledge a commit then.
 @pytest.mark.parametrize("seed", [1, 15, 17, 51])
 async def test_short_run_keeps_every_guarantee(seed: int) -> None:
     result = await soak(seed, seconds=4.0, proxies=3, callers=6)
