--- a/soak/fault_soak/cable.py
+++ b/soak/fault_soak/cable.py
@@ -1,61 +1,64 @@
-"""A loopback connection that can be delayed, reset, silenced or cut one way."""
+"""TCP forwarder on loopback that injects network faults."""
 
 import asyncio
 import enum
 
 
-class Fault(enum.Enum):
-    """What is wrong with a cable."""
+class LinkFault(enum.Enum):
+    """A network fault that a link can simulate."""
 
     NONE = "none"
     DELAY = "delay"
     SILENT = "silent"
-    """Takes bytes and passes none on, either way."""
+    """Accepts bytes in both directions but forwards none."""
     NO_ANSWERS = "no_answers"
-    """Passes requests on, and no answers."""
+    """Forwards requests but drops responses."""
     REFUSE = "refuse"
-    """Ends every connection at once."""
+    """Resets every open and new connection immediately."""
 
 
 DELAY_SECONDS = 0.15
 CHUNK_BYTES = 65_536
 
 
-class Cable:
-    """Forwards connections to a port on this machine.
+class FaultyLink:
+    """Forwards TCP connections to a loopback port, with optional faults.
 
     Attributes:
-      port: Where it listens.
-      target: Where it forwards to.
-      fault: What is wrong with it now.
+      port: Listening port; 0 until started.
+      target: Port that connections are forwarded to.
+      fault: Currently simulated fault.
     """
 
     def __init__(self, target: int) -> None:
         self.target = target
         self.port = 0
-        self.fault = Fault.NONE
+        self.fault = LinkFault.NONE
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Begin to forward."""
-        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        """Start listening and forwarding."""
+        self.server = await asyncio.start_server(
+            self.handle_connection, "127.0.0.1", 0
+        )
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Stop forwarding."""
+        """Stop listening and reset all open connections."""
         if self.server:
             self.server.close()
         self.reset()
 
-    def set_fault(self, fault: Fault) -> None:
-        """Change what is wrong with the cable.
+    def set_fault(self, fault: LinkFault) -> None:
+        """Set the simulated fault.
 
         Args:
-          fault: What is wrong from now on.
+          fault: Fault to simulate from now on; `REFUSE` also resets all open
+            connections.
         """
         self.fault = fault
-        if fault is Fault.REFUSE:
+        if fault is LinkFault.REFUSE:
             self.reset()
 
     def reset(self) -> None:
@@ -63,48 +66,59 @@
         for writer in list(self.writers):
             writer.transport.abort()
 
-    async def serve(
+    async def handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Forward one connection."""
-        if self.fault is Fault.REFUSE:
+        """Forward one connection in both directions until it closes."""
+        if self.fault is LinkFault.REFUSE:
             writer.transport.abort()
             return
         try:
-            onward = await asyncio.open_connection("127.0.0.1", self.target)
+            upstream = await asyncio.open_connection("127.0.0.1", self.target)
         except OSError:
             writer.transport.abort()
             return
-        both = {writer, onward[1]}
-        self.writers |= both
+        connection_writers = {writer, upstream[1]}
+        self.writers |= connection_writers
         try:
             await asyncio.gather(
-                self.pump(reader, onward[1], (Fault.SILENT,)),
-                self.pump(onward[0], writer, (Fault.SILENT, Fault.NO_ANSWERS)),
+                self.relay_bytes(reader, upstream[1], (LinkFault.SILENT,)),
+                self.relay_bytes(
+                    upstream[0],
+                    writer,
+                    (LinkFault.SILENT, LinkFault.NO_ANSWERS),
+                ),
             )
         except OSError:
-            # Either end is gone; the other one sees a reset.
+            # One end failed; the `finally` block resets the other one.
             return
         finally:
-            self.writers -= both
-            for one in both:
-                one.transport.abort()
+            self.writers -= connection_writers
+            for open_writer in connection_writers:
+                open_writer.transport.abort()
 
-    async def pump(
+    async def relay_bytes(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        swallowed_by: tuple[Fault, ...],
+        dropped_by: tuple[LinkFault, ...],
     ) -> None:
-        """Pass bytes one way until that end closes."""
-        swallowed = False
+        """Relay bytes in one direction until the sender closes.
+
+        Args:
+          reader: Connection to read from.
+          writer: Connection to write to.
+          dropped_by: Faults that drop bytes in this direction.
+        """
+        dropped = False
         while data := await reader.read(CHUNK_BYTES):
-            if self.fault is Fault.DELAY:
+            if self.fault is LinkFault.DELAY:
                 await asyncio.sleep(DELAY_SECONDS)
-            # Once bytes are missing, later ones would be garbled.
-            swallowed = swallowed or self.fault in swallowed_by
-            if not swallowed:
+            # After a gap in the stream, later bytes would arrive as corrupt
+            # messages, so everything that follows is dropped too.
+            dropped = dropped or self.fault in dropped_by
+            if not dropped:
                 writer.write(data)
                 await writer.drain()
-        if not swallowed:
+        if not dropped:
             writer.transport.abort()
--- a/soak/fault_soak/run.py
+++ b/soak/fault_soak/run.py
@@ -1,4 +1,4 @@
-"""Runs the soak: `python -m fault_soak.run --seeds 1-50 --seconds 20`."""
+"""Runs the fault soak: `python -m fault_soak.run --seeds 1-50 --seconds 20`."""
 
 import asyncio
 import pathlib
@@ -10,26 +10,26 @@
 import attrs
 import click
 
-from fault_soak.cable import Fault
-from fault_soak.callers import Caller, Memory
-from fault_soak.faults import Faults
-from fault_soak.world import GROUP, World
+from fault_soak.cable import LinkFault
+from fault_soak.callers import Caller, CallHistory
+from fault_soak.faults import RandomFaults
+from fault_soak.world import GROUP, SoakEnvironment
 
-# A change of primary is over in 7 s at the latest.
-CALM_SECONDS = 8.0
+# A failover takes at most 7 s.
+RECOVERY_SECONDS = 8.0
 
 
 @attrs.frozen
-class Verdict:
-    """What one run showed.
+class SoakResult:
+    """Result of one run.
 
     Attributes:
-      seed: Its seed.
-      broken: The promises that were broken, in words.
-      answers: Answers by code.
-      promotions: Changes of primary.
-      faults: What was done, in order.
-      folder: Where the logs lie.
+      seed: Seed of the run.
+      broken: Descriptions of violated guarantees.
+      answers: Number of answers by code.
+      promotions: Number of changes of primary.
+      faults: Names of the injected faults, in order.
+      run_directory: Directory with the settings and logs of the proxies.
     """
 
     seed: int
@@ -37,55 +37,59 @@
     answers: dict[str, int]
     promotions: int
     faults: tuple[str, ...]
-    folder: pathlib.Path
+    run_directory: pathlib.Path
 
 
 async def soak(
     seed: int, seconds: float, proxies: int, callers: int
-) -> Verdict:
-    """Play one seed and judge it.
+) -> SoakResult:
+    """Run the soak with one seed and check the recorded history.
 
     Args:
-      seed: Decides the faults and the callers' choices.
-      seconds: How long faults strike.
-      proxies: Proxy processes.
-      callers: Callers at once.
+      seed: Seed for the choice of faults and caller operations.
+      seconds: Duration of fault injection, in seconds.
+      proxies: Number of proxy processes.
+      callers: Number of concurrent callers.
     """
     rng = random.Random(seed)
-    folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-    world = World(folder, proxies, rng)
-    memory = Memory()
-    faults = Faults(world)
+    run_directory = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
+    environment = SoakEnvironment(run_directory, proxies, rng)
+    history = CallHistory()
+    faults = RandomFaults(environment)
     try:
-        await world.start()
-        work = [
+        await environment.start()
+        caller_tasks = [
             asyncio.create_task(
                 Caller(
-                    f"c{n}", world, memory, random.Random(f"{seed}-{n}")
+                    f"c{n}", environment, history, random.Random(f"{seed}-{n}")
                 ).run()
             )
             for n in range(callers)
         ]
-        striking = asyncio.create_task(faults.run())
+        injection = asyncio.create_task(faults.run())
         await asyncio.sleep(seconds)
-        await stop([striking])
-        await calm(world)
-        await stop(work)
-        judge(world, memory)
+        await stop([injection])
+        await end_faults_and_recover(environment)
+        await stop(caller_tasks)
+        check_history(environment, history)
     finally:
-        await world.close()
-    return Verdict(
+        await environment.close()
+    return SoakResult(
         seed,
-        tuple(memory.broken),
-        memory.answers,
-        world.platform.groups[GROUP].term - 1,
-        tuple(faults.told),
-        folder,
+        tuple(history.broken),
+        history.answers,
+        environment.platform.groups[GROUP].term - 1,
+        tuple(faults.injected),
+        run_directory,
     )
 
 
 async def stop(tasks: "list[asyncio.Task[None]]") -> None:
-    """Cancel tasks; pass on what went wrong in them."""
+    """Cancel tasks and wait for them.
+
+    Raises:
+      Exception: The first error raised by a task, other than cancellation.
+    """
     for task in tasks:
         task.cancel()
     for outcome in await asyncio.gather(*tasks, return_exceptions=True):
@@ -93,54 +97,58 @@
             raise outcome
 
 
-async def calm(world: World) -> None:
-    """End all faults and wait until the system has recovered."""
-    platform = world.platform
+async def end_faults_and_recover(environment: SoakEnvironment) -> None:
+    """Clear all faults, restart what is down and wait for recovery."""
+    platform = environment.platform
     platform.lose_orders = 0
-    for cable in platform.cables.values():
-        cable.set_fault(Fault.NONE)
+    for link in platform.links.values():
+        link.set_fault(LinkFault.NONE)
     for server in platform.groups[GROUP].servers.values():
         server.deaf = server.draining = False
         server.lost_answers = 0
         if not server.running:
             await server.start()
         server.report()
-    for proxy in world.proxies:
-        world.signal(proxy, signal.SIGCONT)
+    for proxy in environment.proxies:
+        environment.signal(proxy, signal.SIGCONT)
         if proxy.process and proxy.process.returncode is not None:
-            await world.start_proxy(proxy)
-    await asyncio.sleep(CALM_SECONDS)
+            await environment.start_proxy(proxy)
+    await asyncio.sleep(RECOVERY_SECONDS)
 
 
-def judge(world: World, memory: Memory) -> None:
-    """Compare what callers were told with what the primary holds."""
-    primary = world.platform.groups[GROUP].primary()
+def check_history(environment: SoakEnvironment, history: CallHistory) -> None:
+    """Compare the answers of callers with the log of the primary."""
+    primary = environment.platform.groups[GROUP].primary()
     if primary is None:
-        memory.broken.append("RECOVER: no primary after the calm")
+        history.broken.append("RECOVER: no primary after the recovery time")
         return
-    writes = [one for commit in primary.log for one in commit.writes]
+    writes = [write for commit in primary.log for write in commit.writes]
     held = dict(writes)
     counts: dict[str, int] = {}
     for item, _ in writes:
         counts[item] = counts.get(item, 0) + 1
-    for item, value in memory.kept.items():
+    for item, value in history.acknowledged.items():
         if held.get(item) != value:
-            memory.broken.append(f"LOST: {item} was acknowledged")
-    for item in memory.refused & held.keys():
-        memory.broken.append(f"REFUSED: {item} is kept all the same")
+            history.broken.append(
+                f"LOST: {item} was acknowledged but its value is not stored"
+            )
+    for item in history.refused & held.keys():
+        history.broken.append(f"REFUSED: {item} was refused but is stored")
     for item, count in counts.items():
         if count > 1:
-            memory.broken.append(f"TWICE: {item} took effect {count} times")
-    for one, two in memory.pairs:
-        if (one in held) != (two in held):
-            memory.broken.append(f"PINNED: only one of {one}, {two} is kept")
+            history.broken.append(f"TWICE: {item} was applied {count} times")
+    for first_item, second_item in history.transactions:
+        if (first_item in held) != (second_item in held):
+            history.broken.append(
+                f"PINNED: only one of {first_item}, {second_item} is stored"
+            )
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Return the seeds written as `3,5-9`.
+    """Parse a list of seeds and seed ranges such as `3,5-9`.
 
     Args:
-      text: The written form.
+      text: Comma-separated seeds and inclusive ranges.
     """
     seeds: list[int] = []
     for part in text.split(","):
@@ -158,29 +166,29 @@
 def main(
     seeds: str, seconds: float, proxies: int, callers: int, jobs: int
 ) -> None:
-    """Play seeds and print a verdict a line; status 1 if one is broken."""
-
-    async def play() -> int:
-        gate = asyncio.Semaphore(jobs)
-        bad = 0
-
-        async def one(seed: int) -> None:
-            nonlocal bad
-            async with gate:
-                verdict = await soak(seed, seconds, proxies, callers)
-            bad += bool(verdict.broken)
-            word = "BROKEN" if verdict.broken else "kept"
+    """Run the seeds and print one result per line; exit 1 on any violation."""
+
+    async def run_seeds() -> int:
+        concurrency_limit = asyncio.Semaphore(jobs)
+        failed_seeds = 0
+
+        async def run_seed(seed: int) -> None:
+            nonlocal failed_seeds
+            async with concurrency_limit:
+                result = await soak(seed, seconds, proxies, callers)
+            failed_seeds += bool(result.broken)
+            status = "BROKEN" if result.broken else "kept"
             click.echo(
-                f"seed {seed}: {word}; answers {verdict.answers}; "
-                f"promotions {verdict.promotions}; logs {verdict.folder}"
+                f"seed {seed}: {status}; answers {result.answers}; "
+                f"promotions {result.promotions}; logs {result.run_directory}"
             )
-            for text in verdict.broken[:5]:
-                click.echo(f"  {text}")
+            for violation in result.broken[:5]:
+                click.echo(f"  {violation}")
 
-        await asyncio.gather(*(one(seed) for seed in parse_seeds(seeds)))
-        return bad
+        await asyncio.gather(*(run_seed(seed) for seed in parse_seeds(seeds)))
+        return failed_seeds
 
-    sys.exit(1 if asyncio.run(play()) else 0)
+    sys.exit(1 if asyncio.run(run_seeds()) else 0)
 
 
 if __name__ == "__main__":
