--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_group.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_group.py
@@ -17,7 +17,7 @@
       promote_seconds: From an order to its effect.
       servers: The servers by id.
       term: The newest term.
-      tokens: The highest fencing token seen.
+      highest_token: The highest fencing token seen.
       orders: Every order: token, server and status.
     """
 
@@ -26,18 +26,18 @@
     promote_seconds: float = 0.05
     servers: dict[str, LineServer] = attrs.Factory(dict)
     term: int = 1
-    tokens: int = 0
+    highest_token: int = 0
     orders: list[tuple[int, str, int]] = attrs.Factory(list)
     tasks: set[asyncio.Task[None]] = attrs.Factory(set)
 
     def primary(self) -> LineServer | None:
         """Return the server that leads, or None."""
         for server in self.servers.values():
-            if server.leads and server.running:
+            if server.is_primary and server.running:
                 return server
         return None
 
-    def ship(self, primary: LineServer) -> int:
+    def replicate(self, primary: LineServer) -> int:
         """Send a primary's log to its replicas; return who received it."""
         received = 0
         for server in self.servers.values():
@@ -54,32 +54,32 @@
           server_id: The server to promote.
           token: The order's fencing token.
         """
-        status = self.judge(server_id, token)
+        status = self.validate_order(server_id, token)
         self.orders.append((token, server_id, status))
         if status == 200:
-            task = asyncio.create_task(self.take_effect(server_id))
+            task = asyncio.create_task(self.apply_promotion(server_id))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         return status
 
-    def judge(self, server_id: str, token: int) -> int:
+    def validate_order(self, server_id: str, token: int) -> int:
         """Return the status of an order and remember its token."""
-        if token < self.tokens:
+        if token < self.highest_token:
             return 409
-        self.tokens = token
+        self.highest_token = token
         server = self.servers.get(server_id)
         return 200 if server is not None and server.running else 409
 
-    async def take_effect(self, server_id: str) -> None:
+    async def apply_promotion(self, server_id: str) -> None:
         """Make a server the primary of the next term."""
         await asyncio.sleep(self.promote_seconds)
         chosen = self.servers[server_id]
-        if chosen.leads:
+        if chosen.is_primary:
             return
         self.term += 1
         for server in self.servers.values():
-            server.leads = server is chosen
-            server.frozen_term = 0
+            server.is_primary = server is chosen
+            server.suspended_term = 0
             server.term = self.term
             if server is not chosen and server.running:
                 del server.log[len(chosen.log) :]
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_server.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_server.py
@@ -11,7 +11,7 @@
 # As the users' servers report themselves.
 SLOTS = 5
 # A server that shows old data says that it is this old.
-STUCK_LAG_MS = 5_000
+STALE_LAG_MS = 5_000
 
 
 @attrs.frozen
@@ -54,17 +54,17 @@
       number: Tells connections apart.
       state: `I`, `T` or `E`.
       transaction: The number of the open transaction, 0 outside.
-      plain: Whether the transaction may write.
+      may_write: Whether the transaction may write.
       pending: What it has written.
     """
 
     number: int
     state: str = "I"
     transaction: int = 0
-    plain: bool = False
+    may_write: bool = False
     pending: list[tuple[str, str]] = attrs.Factory(list)
     values: dict[str, str] = attrs.Factory(dict)
-    names: dict[str, tuple[str, str]] = attrs.Factory(dict)
+    prepared_statements: dict[str, tuple[str, str]] = attrs.Factory(dict)
 
 
 class GroupView(typing.Protocol):
@@ -74,7 +74,7 @@
     term: int
     sync_replicas: int
 
-    def ship(self, primary: "LineServer") -> int:
+    def replicate(self, primary: "LineServer") -> int:
         """Send a primary's log to its replicas; return who received it."""
 
 
@@ -84,16 +84,16 @@
     Attributes:
       server_id: Its id.
       log: Its commits.
-      leads: Whether it is the primary.
+      is_primary: Whether it is the primary.
       running: Whether it answers at all; a stopped one refuses connections.
       silent: Whether it takes bytes and answers nothing.
-      deaf: Whether it receives nothing from the primary.
-      busy_for: The next so many reads, writes and commits get BUSY.
+      replication_cut: Whether it receives nothing from the primary.
+      busy_answers: The next so many reads, writes and commits get BUSY.
       lost_answers: The answers of the next so many of these are lost.
       slots: Reads, writes and commits that it runs at once.
-      shown: How many entries of its log it shows; None for all of them. A
+      visible_entries: How many entries of its log it shows; None for all of them. A
         server that is promoted shows all.
-      frozen_term: The term up to which it was told to receive nothing.
+      suspended_term: The term up to which it was told to receive nothing.
       runs: Every statement that it ran.
     """
 
@@ -109,22 +109,22 @@
         self.zone = zone
         self.report_to = report
         self.log: list[Commit] = []
-        self.leads = False
+        self.is_primary = False
         self.running = False
         self.silent = False
-        self.deaf = False
+        self.replication_cut = False
         self.draining = False
-        self.busy_for = 0
+        self.busy_answers = 0
         self.lost_answers = 0
         self.work_seconds = 0.0
         self.slots = asyncio.Semaphore(SLOTS)
-        self.shown: int | None = None
-        self.frozen_term = 0
+        self.visible_entries: int | None = None
+        self.suspended_term = 0
         self.term = 1
         self.max_connections = 50
         self.open_connections = 0
         self.runs: list[Run] = []
-        self.numbers = itertools.count(1)
+        self.connection_numbers = itertools.count(1)
         self.transactions = itertools.count(1)
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -152,7 +152,11 @@
 
     def receives(self) -> bool:
         """Return whether commits of the primary reach it."""
-        return self.running and not self.deaf and not self.frozen_term
+        return (
+            self.running
+            and not self.replication_cut
+            and not self.suspended_term
+        )
 
     def receive(self, log: list[Commit]) -> None:
         """Take over a primary's log.
@@ -166,16 +170,16 @@
         """Return the position of the last entry."""
         return last_position(self.log)
 
-    def shown_log(self) -> list[Commit]:
+    def visible_log(self) -> list[Commit]:
         """Return the entries that it shows."""
-        if self.leads or self.shown is None:
+        if self.is_primary or self.visible_entries is None:
             return self.log
-        return self.log[: self.shown]
+        return self.log[: self.visible_entries]
 
     def lag_ms(self) -> int:
         """Return how old the data is that it shows."""
-        behind = len(self.log) - len(self.shown_log())
-        return STUCK_LAG_MS if behind else 0
+        behind = len(self.log) - len(self.visible_log())
+        return STALE_LAG_MS if behind else 0
 
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -184,7 +188,7 @@
         self.writers.add(writer)
         self.open_connections += 1
         try:
-            await self.converse(reader, writer)
+            await self.serve_queries(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
             # The peer is gone; what was open is rolled back by forgetting it.
             return
@@ -193,7 +197,7 @@
             self.writers.discard(writer)
             writer.close()
 
-    async def converse(
+    async def serve_queries(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Answer a connection's lines in order."""
@@ -202,7 +206,7 @@
         if refusal:
             writer.write(f"ERROR {refusal}\r\n".encode())
             return
-        session = Session(next(self.numbers))
+        session = Session(next(self.connection_numbers))
         self.answer(writer, session, [])
         while True:
             line = (await reader.readuntil(b"\r\n")).decode().rstrip("\r\n")
@@ -231,7 +235,7 @@
         lines: list[str],
     ) -> None:
         """Send an answer and where the session stands."""
-        term, number = last_position(self.shown_log())
+        term, number = last_position(self.visible_log())
         lines = [*lines, f"READY {session.state} {term}.{number}"]
         writer.write("".join(f"{one}\r\n" for one in lines).encode())
 
@@ -247,11 +251,11 @@
         word, _, rest = text.partition(" ")
         if session.state == "E" and word not in ("ROLLBACK", "COMMIT"):
             return ["ERROR MALFORMED transaction failed"]
-        if needed and last_position(self.shown_log()) < needed:
+        if needed and last_position(self.visible_log()) < needed:
             return self.problem(session, "LAGGING")
         if word in ("READ", "WRITE", "EXECUTE", "COMMIT"):
-            if self.busy_for:
-                self.busy_for -= 1
+            if self.busy_answers:
+                self.busy_answers -= 1
                 return [f"ERROR BUSY {self.server_id}"]
             async with self.slots:
                 await asyncio.sleep(self.work_seconds)
@@ -273,14 +277,16 @@
         """Run what takes a slot; None if there is no answer."""
         if word == "EXECUTE":
             name, _, rest = rest.partition(" ")
-            if name not in session.names:
+            if name not in session.prepared_statements:
                 return self.problem(session, "UNKNOWNST")
-            word, shape = session.names[name]
+            word, shape = session.prepared_statements[name]
             text = f"EXECUTE {word} {shape} {rest}"
-        lost_lead = session.plain and session.transaction and not self.leads
-        if lost_lead and (word != "COMMIT" or session.pending):
+        lost_primary_role = (
+            session.may_write and session.transaction and not self.is_primary
+        )
+        if lost_primary_role and (word != "COMMIT" or session.pending):
             return self.problem(session, "READONLY")
-        if word == "WRITE" and not self.leads:
+        if word == "WRITE" and not self.is_primary:
             return self.problem(session, "READONLY")
         self.runs.append(
             Run(
@@ -293,15 +299,18 @@
         )
         if word == "READ":
             item = rest.split(" ")[0]
-            return [f"ROW {self.value(session, item)}", self.signed(text)]
+            return [
+                f"ROW {self.value(session, item)}",
+                self.complete_line(text),
+            ]
         if word == "WRITE":
             item, _, data = rest.partition(" ")
             session.pending.append((item, data))
             if session.transaction:
-                return [self.signed(text)]
+                return [self.complete_line(text)]
         if not await self.commit(session):
             return None
-        return [self.signed(text)]
+        return [self.complete_line(text)]
 
     async def commit(self, session: Session) -> bool:
         """Append what a session wrote, and wait for the replicas.
@@ -316,8 +325,8 @@
             return True
         number = self.position()[1] + 1
         self.log.append(Commit((self.group.term, number), writes))
-        while self.leads:
-            if self.group.ship(self) >= self.group.sync_replicas:
+        while self.is_primary:
+            if self.group.replicate(self) >= self.group.sync_replicas:
                 return True
             await asyncio.sleep(0.01)
         return False
@@ -327,18 +336,18 @@
         session.pending.clear()
         session.state = "I"
         session.transaction = 0
-        session.plain = False
+        session.may_write = False
 
     def value(self, session: Session, item: str) -> str:
         """Return what an item holds, as the session sees it."""
-        shown = self.shown_log()
+        shown = self.visible_log()
         writes = [one for commit in shown for one in commit.writes]
         found = [
             data for name, data in [*writes, *session.pending] if name == item
         ]
         return found[-1] if found else "none"
 
-    def signed(self, text: str) -> str:
+    def complete_line(self, text: str) -> str:
         """Return the end of a result."""
         return f"COMPLETE {self.server_id}.{len(self.runs)}"
 
@@ -351,10 +360,10 @@
     def run_control(self, session: Session, word: str, rest: str) -> list[str]:
         """Run what takes no slot."""
         if word == "BEGIN":
-            if not rest and not self.leads:
+            if not rest and not self.is_primary:
                 return self.problem(session, "READONLY")
             session.state = "T"
-            session.plain = not rest
+            session.may_write = not rest
             session.transaction = next(self.transactions)
         elif word == "ROLLBACK":
             self.end(session)
@@ -363,10 +372,10 @@
             session.values[name] = value
         elif word == "PREPARE":
             name, kind, shape = rest.split(" ", 2)
-            session.names[name] = (kind, shape)
+            session.prepared_statements[name] = (kind, shape)
         elif word == "RESET":
             session.values.clear()
-            session.names.clear()
+            session.prepared_statements.clear()
         else:
             return self.run_order(word, rest)
         return ["COMPLETE -"]
@@ -374,18 +383,18 @@
     def run_order(self, word: str, rest: str) -> list[str]:
         """Run an order to the server itself."""
         if word == "SUSPEND" and int(rest) > self.term:
-            self.frozen_term = int(rest)
+            self.suspended_term = int(rest)
         elif word == "RESUME":
-            self.frozen_term = 0
+            self.suspended_term = 0
         elif word == "DEMOTE" and int(rest) > self.term:
-            self.leads = False
+            self.is_primary = False
             self.report()
         elif word != "STATUS":
             return ["ERROR MALFORMED unknown"]
-        role = "primary" if self.leads else "replica"
+        role = "primary" if self.is_primary else "replica"
         term, number = self.position()
         return [
-            f"ROW {role} {self.term} {term}.{number} {self.frozen_term} "
+            f"ROW {role} {self.term} {term}.{number} {self.suspended_term} "
             f"{self.lag_ms()} 0 "
             f"{self.open_connections}",
             "COMPLETE -",
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/row_tables.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/row_tables.py
@@ -30,7 +30,7 @@
       rows: The rows by table and key.
       ver: The newest transaction.
       down: Whether every call gets 503.
-      audible: Cleared while calls get no answer.
+      answering: Cleared while calls get no answer.
       lose_answers: The next so many writes are done and not answered.
       calls: Calls by path.
     """
@@ -38,11 +38,11 @@
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], StoredRow] = {}
         self.history: list[tuple[int, str, str, bytes | None]] = []
-        self.forgotten = 0
+        self.trimmed_ver = 0
         self.ver = 0
         self.down = False
-        self.audible = asyncio.Event()
-        self.audible.set()
+        self.answering = asyncio.Event()
+        self.answering.set()
         self.lose_answers = 0
         self.calls: dict[str, int] = {}
         self.changed = asyncio.Event()
@@ -63,11 +63,11 @@
 
     async def close(self) -> None:
         """Stop listening."""
-        self.put_nothing()
+        self.notify_waiters()
         if self.runner:
             await self.runner.cleanup()
 
-    def put_nothing(self) -> None:
+    def notify_waiters(self) -> None:
         """Wake whoever waits for changes."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -83,7 +83,7 @@
         self.ver += 1
         self.rows[(table, key)] = StoredRow(value, self.ver)
         self.history.append((self.ver, table, key, value))
-        self.put_nothing()
+        self.notify_waiters()
 
     def remove(self, table: str, key: str) -> None:
         """Remove a row.
@@ -95,21 +95,21 @@
         self.ver += 1
         self.rows.pop((table, key), None)
         self.history.append((self.ver, table, key, None))
-        self.put_nothing()
+        self.notify_waiters()
 
-    def forget_history(self) -> None:
+    def trim_history(self) -> None:
         """Drop the record of changes."""
         self.history.clear()
-        self.forgotten = self.ver
+        self.trimmed_ver = self.ver
 
-    async def trouble(self, path: str) -> web.Response | None:
+    async def fault_response(self, path: str) -> web.Response | None:
         """Count a call; return the answer of a store in trouble."""
         self.calls[path] = self.calls.get(path, 0) + 1
-        return await self.present_trouble()
+        return await self.current_fault_response()
 
-    async def present_trouble(self) -> web.Response | None:
+    async def current_fault_response(self) -> web.Response | None:
         """Return the answer of a store in trouble, or None."""
-        await self.audible.wait()
+        await self.answering.wait()
         return web.Response(status=503) if self.down else None
 
     def answer(self, rows: list[dict[str, object]]) -> web.Response:
@@ -121,9 +121,9 @@
 
     async def rows_get(self, request: web.Request) -> web.Response:
         """Answer a range."""
-        trouble = await self.trouble("/rows-get")
-        if trouble is not None:
-            return trouble
+        fault_response = await self.fault_response("/rows-get")
+        if fault_response is not None:
+            return fault_response
         table = request.query["table"]
         first = request.query.get("from", "")
         end = request.query.get("target")
@@ -139,11 +139,11 @@
         table = request.query["table"]
         after = int(request.query["after"])
         deadline = time.monotonic() + int(request.query["waitMs"]) / 1000
-        trouble = await self.trouble("/rows-feed")
+        fault_response = await self.fault_response("/rows-feed")
         while True:
-            if trouble is not None:
-                return trouble
-            if after < self.forgotten:
+            if fault_response is not None:
+                return fault_response
+            if after < self.trimmed_ver:
                 return web.Response(status=410)
             found = [
                 row_body(of, key, value, ver)
@@ -155,13 +155,13 @@
                 return self.answer(found)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.changed.wait(), min(left, 0.05))
-            trouble = await self.present_trouble()
+            fault_response = await self.current_fault_response()
 
     async def rows_tx(self, request: web.Request) -> web.Response:
         """Apply a transaction or none of it."""
-        trouble = await self.trouble("/rows-tx")
-        if trouble is not None:
-            return trouble
+        fault_response = await self.fault_response("/rows-tx")
+        if fault_response is not None:
+            return fault_response
         body = json.loads(await request.read())
         for one in body["precondition"]:
             row = self.rows.get((one["table"], one["key"]))
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/standin_platform.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/standin_platform.py
@@ -35,7 +35,7 @@
       address_ports: Ports that stand in servers' entries in place of their
         own.
       lose_orders: The next so many duty calls are done and not answered.
-      hold_orders: How long duty calls without an answer are held back.
+      promotion_delay_seconds: How long duty calls without an answer are held back.
     """
 
     def __init__(self, names: tuple[str, ...] = ("plots",)) -> None:
@@ -45,12 +45,12 @@
         self.timeout_ms = 1_000
         self.idle_ms = 3_000
         self.connections = 72
-        self.dropped: set[str] = set()
+        self.removed_databases: set[str] = set()
         self.address_ports: dict[str, int] = {}
         self.lose_orders = 0
-        self.hold_orders = 0.0
-        self.holders: list[tuple[str, int]] = []
-        self.late: set[asyncio.Task[None]] = set()
+        self.promotion_delay_seconds = 0.0
+        self.promotion_callers: list[tuple[str, int]] = []
+        self.delayed_promotions: set[asyncio.Task[None]] = set()
         self.runner: web.AppRunner | None = None
         self.duty_port = 0
 
@@ -74,7 +74,7 @@
         for group in self.groups.values():
             for server in group.servers.values():
                 await server.close()
-        for task in self.late:
+        for task in self.delayed_promotions:
             task.cancel()
         if self.runner:
             await self.runner.cleanup()
@@ -92,7 +92,7 @@
         """
         server = LineServer(server_id, group, zone, self.report)
         primary = group.primary()
-        server.leads = not group.servers
+        server.is_primary = not group.servers
         if primary:
             server.receive(primary.log)
         group.servers[server_id] = server
@@ -111,7 +111,7 @@
             "slots": 5,
             "state": "draining" if server.draining else "ready",
             "coldLeftMs": 0,
-            "dbRole": "primary" if server.leads else "replica",
+            "dbRole": "primary" if server.is_primary else "replica",
             "seqNo": 1,
             "born": 1_700_000_000_000,
         }
@@ -135,7 +135,7 @@
             }
             for name in self.groups
             for kind, age in KINDS.items()
-            if f"{name}-{kind}" not in self.dropped
+            if f"{name}-{kind}" not in self.removed_databases
         ]
         services = [
             {
@@ -158,22 +158,24 @@
         body = json.loads(await request.read())
         token = int(request.headers["X-Jackdawcrank-Fencing-Token"])
         holder = request.headers["X-Jackdawcrank-Duty-Holder"]
-        self.holders.append((holder, token))
+        self.promotion_callers.append((holder, token))
         group = self.groups[body["service"]]
         if self.lose_orders:
             self.lose_orders -= 1
-            task = asyncio.create_task(self.obey_late(group, body, token))
-            self.late.add(task)
+            task = asyncio.create_task(
+                self.promote_unanswered(group, body, token)
+            )
+            self.delayed_promotions.add(task)
             if request.transport:
                 request.transport.close()
             return web.Response(status=500)
         return web.Response(status=group.promote(body["id"], token))
 
-    async def obey_late(
+    async def promote_unanswered(
         self, group: LineGroup, body: dict[str, str], token: int
     ) -> None:
         """Carry an order out that was not answered."""
-        await asyncio.sleep(self.hold_orders)
+        await asyncio.sleep(self.promotion_delay_seconds)
         group.promote(body["id"], token)
 
     def write_boot_file(self, path: pathlib.Path, vm: str, zone: str) -> int:
--- a/soak/fault_soak/faults.py
+++ b/soak/fault_soak/faults.py
@@ -152,9 +152,9 @@
         """Let a replica receive nothing."""
         group = self.world.platform.groups[GROUP]
         server = self.rng.choice(list(group.servers.values()))
-        server.deaf = True
+        server.replication_cut = True
         await self.last()
-        server.deaf = False
+        server.replication_cut = False
 
     async def lose_answers(self) -> None:
         """Lose the answers of some statements."""
@@ -165,7 +165,7 @@
     async def lose_orders(self) -> None:
         """Carry promotions out late and without an answer."""
         self.world.platform.lose_orders = 1
-        self.world.platform.hold_orders = self.rng.uniform(0.0, 2.0)
+        self.world.platform.promotion_delay_seconds = self.rng.uniform(0.0, 2.0)
 
     async def configure(self) -> None:
         """Write the next configuration."""
@@ -173,4 +173,4 @@
 
     async def forget_history(self) -> None:
         """Drop the store's record of changes."""
-        self.world.platform.store.forget_history()
+        self.world.platform.store.trim_history()
--- a/soak/fault_soak/run.py
+++ b/soak/fault_soak/run.py
@@ -100,7 +100,7 @@
     for cable in platform.cables.values():
         cable.set_fault(Fault.NONE)
     for server in platform.groups[GROUP].servers.values():
-        server.deaf = server.draining = False
+        server.replication_cut = server.draining = False
         server.lost_answers = 0
         if not server.running:
             await server.start()
