--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/__init__.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/__init__.py
@@ -1,7 +1,8 @@
-"""A small form of the users' platform: servers, store and duty calls.
+"""In-process stand-in for the users' platform, for tests and the demo.
 
-Written from the platform's published pages, for tests and the demo. It speaks
-the platform's words on the wire, as only its adapter does elsewhere.
+It provides the backend servers, the metadata store and the promotion endpoint,
+and follows the platform's published documentation. Apart from the platform's
+adapter, this is the only code that uses the platform's terms on the wire.
 """
 
 from jackdawcrank_standins.users_platform.line_caller import (
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_caller.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_caller.py
@@ -1,4 +1,4 @@
-"""A caller of the line protocol."""
+"""Client for the line protocol."""
 
 import asyncio
 
@@ -10,12 +10,13 @@
 
 @attrs.frozen
 class LineAnswer:
-    """What a caller received for one query.
+    """Response to one query.
 
     Attributes:
       rows: The result's rows.
-      last: The line that ended the result.
-      state: `I`, `T` or `E`.
+      last: The `COMPLETE` or `ERROR` line that ended the result.
+      state: Session state: `I` (idle), `T` (in a transaction) or `E` (in a
+        failed transaction).
     """
 
     rows: list[str]
@@ -24,22 +25,22 @@
 
     @property
     def code(self) -> str:
-        """The error's code, empty on success."""
+        """Error code; empty on success."""
         return self.last.split(" ")[1] if self.last[:5] == "ERROR" else ""
 
     @property
     def signature(self) -> str:
-        """The server's signature, empty where there is none."""
+        """Server signature; empty if the response has none."""
         found = self.last.removeprefix("COMPLETE ")
         return "" if found in ("-", self.last) else found
 
 
 class LineCaller:
-    """One connection.
+    """Client connection.
 
     Attributes:
-      greeting: The answer to naming the database.
-      number: Queries that were sent.
+      greeting: Response line to the `CONNECT` request.
+      number: Number of queries sent.
     """
 
     def __init__(
@@ -52,11 +53,14 @@
 
     @classmethod
     async def connect(cls, port: int, database: str) -> "LineCaller":
-        """Connect to a proxy on this machine and name a database.
+        """Connect to a database through a proxy on the local host.
 
         Args:
-          port: Where the proxy listens.
-          database: The database.
+          port: Port on which the proxy listens.
+          database: Database name.
+
+        Raises:
+          TimeoutError: The proxy did not respond within CONNECT_SECONDS.
         """
         async with asyncio.timeout(CONNECT_SECONDS):
             caller = cls(*await asyncio.open_connection("127.0.0.1", port))
@@ -65,19 +69,24 @@
         return caller
 
     async def line(self) -> str:
-        """Return the next line; empty once the proxy has closed."""
+        """Return the next line, or an empty string at end of stream.
+
+        Raises:
+          TimeoutError: No line arrived within ANSWER_SECONDS.
+        """
         async with asyncio.timeout(ANSWER_SECONDS):
             return (await self.reader.readline()).decode().rstrip("\r\n")
 
     async def ask(self, text: str, request_id: str = "") -> LineAnswer:
-        """Send a query and return the whole answer.
+        """Send a query and return the complete response.
 
         Args:
-          text: The query.
-          request_id: Its id; one of the caller's own if empty.
+          text: Query text.
+          request_id: Request id; generated if empty.
 
         Raises:
           ConnectionResetError: The proxy closed the connection.
+          TimeoutError: No line arrived within ANSWER_SECONDS.
         """
         self.number += 1
         request_id = request_id or f"r{id(self):x}-{self.number}"
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_group.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_group.py
@@ -1,4 +1,4 @@
-"""The servers of one group and who of them leads."""
+"""Database group of line protocol servers and its primary."""
 
 import asyncio
 
@@ -9,16 +9,19 @@
 
 @attrs.define(eq=False)
 class LineGroup:
-    """A primary, its replicas, and the order of their commits.
+    """Primary and replicas of a database group.
 
     Attributes:
-      name: The group's name.
-      sync_replicas: Replicas that must receive a commit before its answer.
-      promote_seconds: From an order to its effect.
-      servers: The servers by id.
-      term: The newest term.
-      highest_token: The highest fencing token seen.
-      orders: Every order: token, server and status.
+      name: Group name.
+      sync_replicas: Number of replicas that must receive a commit before it
+        is acknowledged.
+      promote_seconds: Delay between a promotion request and its effect.
+      servers: Servers by id.
+      term: Current term.
+      highest_token: Highest fencing token seen.
+      orders: All promotion requests as (fencing token, server id, HTTP
+        status).
+      tasks: Promotions in progress.
     """
 
     name: str
@@ -31,14 +34,14 @@
     tasks: set[asyncio.Task[None]] = attrs.Factory(set)
 
     def primary(self) -> LineServer | None:
-        """Return the server that leads, or None."""
+        """Return the running primary, or None."""
         for server in self.servers.values():
             if server.is_primary and server.running:
                 return server
         return None
 
     def replicate(self, primary: LineServer) -> int:
-        """Send a primary's log to its replicas; return who received it."""
+        """Copy the primary's log to its replicas; return how many got it."""
         received = 0
         for server in self.servers.values():
             if server is primary or not server.receives():
@@ -48,11 +51,11 @@
         return received
 
     def promote(self, server_id: str, token: int) -> int:
-        """Carry out an order; return the status of the answer.
+        """Handle a promotion request; return the HTTP status.
 
         Args:
-          server_id: The server to promote.
-          token: The order's fencing token.
+          server_id: Server to promote.
+          token: Fencing token of the request.
         """
         status = self.validate_order(server_id, token)
         self.orders.append((token, server_id, status))
@@ -63,7 +66,7 @@
         return status
 
     def validate_order(self, server_id: str, token: int) -> int:
-        """Return the status of an order and remember its token."""
+        """Return the HTTP status of a request and record its token."""
         if token < self.highest_token:
             return 409
         self.highest_token = token
@@ -71,7 +74,7 @@
         return 200 if server is not None and server.running else 409
 
     async def apply_promotion(self, server_id: str) -> None:
-        """Make a server the primary of the next term."""
+        """Make a server the primary of the next term after the delay."""
         await asyncio.sleep(self.promote_seconds)
         chosen = self.servers[server_id]
         if chosen.is_primary:
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/row_tables.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/row_tables.py
@@ -1,4 +1,4 @@
-"""The metadata store of the platform, in memory."""
+"""In-memory stand-in for the platform's metadata store."""
 
 import asyncio
 import base64
@@ -12,11 +12,11 @@
 
 @attrs.define
 class StoredRow:
-    """A row.
+    """Stored row.
 
     Attributes:
-      value: Its bytes.
-      ver: The transaction that wrote it.
+      value: Row contents.
+      ver: Version of the transaction that wrote the row.
     """
 
     value: bytes
@@ -24,15 +24,19 @@
 
 
 class RowTables:
-    """Tables of rows over HTTP, with faults that can be switched on.
+    """HTTP server for tables of rows, with fault injection.
 
     Attributes:
-      rows: The rows by table and key.
-      ver: The newest transaction.
-      down: Whether every call gets 503.
-      answering: Cleared while calls get no answer.
-      lose_answers: The next so many writes are done and not answered.
-      calls: Calls by path.
+      rows: Rows by table and key.
+      history: Changes as (version, table, key, value); the value is None for
+        a removal.
+      trimmed_ver: Version up to which the history was dropped.
+      ver: Version of the latest transaction.
+      down: Whether every request gets status 503.
+      answering: Cleared while requests are to hang without a response.
+      lose_answers: Number of upcoming writes that are applied but get no
+        response.
+      calls: Number of requests by path.
     """
 
     def __init__(self) -> None:
@@ -68,7 +72,7 @@
             await self.runner.cleanup()
 
     def notify_waiters(self) -> None:
-        """Wake whoever waits for changes."""
+        """Wake all requests that wait for changes."""
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -76,9 +80,9 @@
         """Write a row.
 
         Args:
-          table: The table.
-          key: The row's key.
-          value: Its bytes.
+          table: Table name.
+          key: Row key.
+          value: Row contents.
         """
         self.ver += 1
         self.rows[(table, key)] = StoredRow(value, self.ver)
@@ -89,8 +93,8 @@
         """Remove a row.
 
         Args:
-          table: The table.
-          key: The row's key.
+          table: Table name.
+          key: Row key.
         """
         self.ver += 1
         self.rows.pop((table, key), None)
@@ -98,29 +102,29 @@
         self.notify_waiters()
 
     def trim_history(self) -> None:
-        """Drop the record of changes."""
+        """Drop the change history; feeds from before it get status 410."""
         self.history.clear()
         self.trimmed_ver = self.ver
 
     async def fault_response(self, path: str) -> web.Response | None:
-        """Count a call; return the answer of a store in trouble."""
+        """Count a request; return the injected error response, if any."""
         self.calls[path] = self.calls.get(path, 0) + 1
         return await self.current_fault_response()
 
     async def current_fault_response(self) -> web.Response | None:
-        """Return the answer of a store in trouble, or None."""
+        """Return the injected error response, or None."""
         await self.answering.wait()
         return web.Response(status=503) if self.down else None
 
     def answer(self, rows: list[dict[str, object]]) -> web.Response:
-        """Return rows with the newest version."""
+        """Return a response with rows and the current version."""
         now_ms = int(time.monotonic() * 1000)
         return web.json_response(
             {"rows": rows, "hasMore": False, "ver": self.ver, "nowMs": now_ms}
         )
 
     async def rows_get(self, request: web.Request) -> web.Response:
-        """Answer a range."""
+        """Return the rows of a key range."""
         fault_response = await self.fault_response("/rows-get")
         if fault_response is not None:
             return fault_response
@@ -135,7 +139,7 @@
         return self.answer(found)
 
     async def rows_feed(self, request: web.Request) -> web.Response:
-        """Answer the changes after a version, as soon as there are some."""
+        """Return the changes after a version; long-poll until there are any."""
         table = request.query["table"]
         after = int(request.query["after"])
         deadline = time.monotonic() + int(request.query["waitMs"]) / 1000
@@ -158,7 +162,7 @@
             fault_response = await self.current_fault_response()
 
     async def rows_tx(self, request: web.Request) -> web.Response:
-        """Apply a transaction or none of it."""
+        """Apply a transaction atomically; status 412 on a version conflict."""
         fault_response = await self.fault_response("/rows-tx")
         if fault_response is not None:
             return fault_response
@@ -182,7 +186,7 @@
 def row_body(
     table: str, key: str, value: bytes | None, ver: int
 ) -> dict[str, object]:
-    """Return a row as an answer holds it."""
+    """Return a row in its JSON response form."""
     body: dict[str, object] = {
         "table": table,
         "part": "",
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/standin_platform.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/standin_platform.py
@@ -1,4 +1,4 @@
-"""The users' platform in one process."""
+"""In-process stand-in for the users' platform."""
 
 import asyncio
 import itertools
@@ -22,20 +22,24 @@
 
 
 class StandinPlatform:
-    """Groups of servers, the store, duty calls and the operator.
+    """Database groups, metadata store, promotion endpoint and settings.
 
     Each group `G` has the databases `G-primary`, `G-bounded_staleness` and
     `G-read_your_writes`.
 
     Attributes:
-      groups: The groups by name.
-      store: The store.
-      version: The newest configuration.
-      connections: Connections that one server takes.
-      address_ports: Ports that stand in servers' entries in place of their
-        own.
-      lose_orders: The next so many duty calls are done and not answered.
-      promotion_delay_seconds: How long duty calls without an answer are held back.
+      groups: Database groups by name.
+      store: Metadata store.
+      version: Version of the latest configuration.
+      connections: Connection limit per server.
+      removed_databases: Databases left out of the configuration.
+      address_ports: Ports to register for servers instead of their own, by
+        server id.
+      lose_orders: Number of upcoming promotion calls that are carried out but
+        get no response.
+      promotion_delay_seconds: Delay before a promotion call without a response
+        is carried out.
+      promotion_callers: Holder and fencing token of every promotion call.
     """
 
     def __init__(self, names: tuple[str, ...] = ("plots",)) -> None:
@@ -55,7 +59,7 @@
         self.duty_port = 0
 
     async def start(self) -> None:
-        """Start the store, the duty calls and every server."""
+        """Start the store, the promotion endpoint and all servers."""
         await self.store.start()
         app = web.Application()
         app.router.add_post("/promotion", self.promotion)
@@ -70,7 +74,7 @@
         self.configure()
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop all servers, the promotion endpoint and the store."""
         for group in self.groups.values():
             for server in group.servers.values():
                 await server.close()
@@ -83,12 +87,12 @@
     async def add_server(
         self, group: LineGroup, server_id: str, zone: str
     ) -> LineServer:
-        """Start a server; the first one leads.
+        """Start a server; the first one of a group is the primary.
 
         Args:
-          group: The group that it joins.
-          server_id: Its id.
-          zone: Where it stands.
+          group: Group that the server joins.
+          server_id: Server id.
+          zone: Zone of the server.
         """
         server = LineServer(server_id, group, zone, self.report)
         primary = group.primary()
@@ -101,7 +105,7 @@
         return server
 
     def report(self, server: LineServer) -> None:
-        """Write a server's entry."""
+        """Write a server's registration to the store."""
         port = self.address_ports.get(server.server_id, server.port)
         body = {
             "service": server.group.name,
@@ -118,7 +122,7 @@
         self.store.put("servers", server.server_id, json.dumps(body).encode())
 
     def configure(self) -> None:
-        """Write the next configuration."""
+        """Write the next configuration version to the store."""
         self.version += 1
         routes = [
             {
@@ -154,7 +158,7 @@
         self.store.put("op", "config", json.dumps(body).encode())
 
     async def promotion(self, request: web.Request) -> web.Response:
-        """Answer a duty call."""
+        """Handle a promotion call."""
         body = json.loads(await request.read())
         token = int(request.headers["X-Jackdawcrank-Fencing-Token"])
         holder = request.headers["X-Jackdawcrank-Duty-Holder"]
@@ -174,17 +178,17 @@
     async def promote_unanswered(
         self, group: LineGroup, body: dict[str, str], token: int
     ) -> None:
-        """Carry an order out that was not answered."""
+        """Carry out a promotion call that got no response, after a delay."""
         await asyncio.sleep(self.promotion_delay_seconds)
         group.promote(body["id"], token)
 
     def write_boot_file(self, path: pathlib.Path, vm: str, zone: str) -> int:
-        """Write a process's settings; return the port for callers.
+        """Write the settings of a proxy process; return its port for callers.
 
         Args:
-          path: The file.
-          vm: The process's VM.
-          zone: Where it stands.
+          path: Settings file to write.
+          vm: VM of the process.
+          zone: Zone of the VM.
         """
         front, ready, control, peers = free_ports(4)
         lines = [
@@ -210,11 +214,11 @@
         return front
 
 
-# Below the range from which the kernel takes ports of outgoing connections,
-# which would else take a port between its choice and its use.
+# Below the kernel's ephemeral port range: an outgoing connection could otherwise
+# take a port between its selection here and its use.
 FIRST_PORT = 20_000
 LAST_PORT = 32_000
-# Processes that run at once begin at different ports.
+# Offset per process id, so that concurrent processes start at different ports.
 PORT_STEP = 97
 next_ports = itertools.cycle(range(FIRST_PORT, LAST_PORT))
 for _ in range(os.getpid() * PORT_STEP % (LAST_PORT - FIRST_PORT)):
@@ -222,10 +226,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody listens on, each of them once.
+    """Return distinct ports on which no process listens.
 
     Args:
-      count: How many.
+      count: Number of ports.
     """
     ports: list[int] = []
     while len(ports) < count:
@@ -234,7 +238,7 @@
             try:
                 probe.bind(("127.0.0.1", port))
             except OSError:
-                # Somebody else listens there.
+                # Another process listens on this port.
                 continue
         ports.append(port)
     return ports
