--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_server.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_server.py
@@ -1,4 +1,4 @@
-"""A backend server that speaks the line protocol."""
+"""Stand-in backend server for the line protocol."""
 
 import asyncio
 import itertools
@@ -8,19 +8,19 @@
 import attrs
 
 Position = tuple[int, int]
-# As the users' servers report themselves.
+# Slot count that the users' servers report.
 SLOTS = 5
-# A server that shows old data says that it is this old.
+# Lag that a server with stale visible data reports.
 STALE_LAG_MS = 5_000
 
 
 @attrs.frozen
 class Commit:
-    """An entry of a log.
+    """Log entry.
 
     Attributes:
-      position: Its term and number.
-      writes: What it wrote.
+      position: Term and number.
+      writes: Written (item, value) pairs.
     """
 
     position: Position
@@ -29,14 +29,14 @@
 
 @attrs.frozen
 class Run:
-    """A statement that a server ran.
+    """Record of a statement that a server ran.
 
     Attributes:
-      request_id: Its id; `-` for one that no caller sent.
-      text: Its text without the position prefix.
-      connection: The number of the connection.
-      transaction: The number of the transaction, 0 outside.
-      values: The connection's session values.
+      request_id: Request id; `-` for a statement that no caller sent.
+      text: Statement text without the position prefix.
+      connection: Connection number.
+      transaction: Transaction number; 0 outside a transaction.
+      values: Session variables of the connection.
     """
 
     request_id: str
@@ -48,14 +48,17 @@
 
 @attrs.define(eq=False)
 class Session:
-    """A connection's state.
+    """State of a connection.
 
     Attributes:
-      number: Tells connections apart.
-      state: `I`, `T` or `E`.
-      transaction: The number of the open transaction, 0 outside.
+      number: Connection number, unique per server.
+      state: `I` (idle), `T` (in a transaction) or `E` (in a failed
+        transaction).
+      transaction: Number of the open transaction; 0 outside a transaction.
       may_write: Whether the transaction may write.
-      pending: What it has written.
+      pending: Uncommitted writes.
+      values: Session variables.
+      prepared_statements: Kind and text of prepared statements by name.
     """
 
     number: int
@@ -68,33 +71,36 @@
 
 
 class GroupView(typing.Protocol):
-    """What a server needs of its group."""
+    """Part of a database group that a server uses."""
 
     name: str
     term: int
     sync_replicas: int
 
     def replicate(self, primary: "LineServer") -> int:
-        """Send a primary's log to its replicas; return who received it."""
+        """Copy the primary's log to its replicas; return how many got it."""
 
 
 class LineServer:
-    """One server of a group.
+    """Stand-in server of a database group, with fault injection.
 
     Attributes:
-      server_id: Its id.
-      log: Its commits.
-      is_primary: Whether it is the primary.
-      running: Whether it answers at all; a stopped one refuses connections.
-      silent: Whether it takes bytes and answers nothing.
-      replication_cut: Whether it receives nothing from the primary.
-      busy_answers: The next so many reads, writes and commits get BUSY.
-      lost_answers: The answers of the next so many of these are lost.
-      slots: Reads, writes and commits that it runs at once.
-      visible_entries: How many entries of its log it shows; None for all of them. A
-        server that is promoted shows all.
-      suspended_term: The term up to which it was told to receive nothing.
-      runs: Every statement that it ran.
+      server_id: Server id.
+      log: Commits in order.
+      is_primary: Whether the server is the primary.
+      running: Whether the server is up; a stopped one refuses connections.
+      silent: Whether the server reads requests but sends no responses.
+      replication_cut: Whether commits of the primary do not arrive.
+      busy_answers: Number of upcoming reads, writes and commits that get BUSY.
+      lost_answers: Number of upcoming reads, writes and commits that run but
+        get no response.
+      work_seconds: Duration of a read, write or commit.
+      slots: Limit on concurrent reads, writes and commits.
+      visible_entries: Number of log entries visible to reads; None for all. On
+        a primary, all entries are visible.
+      suspended_term: Term of the SUSPEND order that stopped replication to the
+        server; 0 if replication is not suspended.
+      runs: All statements that the server ran.
     """
 
     def __init__(
@@ -131,7 +137,7 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen on a free port, or on the one it had."""
+        """Listen on a free port, or on the previous one after a restart."""
         self.server = await asyncio.start_server(
             self.serve, "127.0.0.1", self.port
         )
@@ -139,7 +145,7 @@
         self.running = True
 
     async def close(self) -> None:
-        """Stop as a crash does: every connection ends."""
+        """Simulate a crash: abort all connections."""
         self.running = False
         if self.server:
             self.server.close()
@@ -147,11 +153,11 @@
             writer.transport.abort()
 
     def report(self) -> None:
-        """Say how it sees itself."""
+        """Report the current role and state."""
         self.report_to(self)
 
     def receives(self) -> bool:
-        """Return whether commits of the primary reach it."""
+        """Return whether commits of the primary reach the server."""
         return (
             self.running
             and not self.replication_cut
@@ -159,25 +165,25 @@
         )
 
     def receive(self, log: list[Commit]) -> None:
-        """Take over a primary's log.
+        """Replace the log by that of the primary.
 
         Args:
-          log: The primary's log.
+          log: Log of the primary.
         """
         self.log[:] = log
 
     def position(self) -> Position:
-        """Return the position of the last entry."""
+        """Return the position of the last log entry."""
         return last_position(self.log)
 
     def visible_log(self) -> list[Commit]:
-        """Return the entries that it shows."""
+        """Return the log entries visible to reads."""
         if self.is_primary or self.visible_entries is None:
             return self.log
         return self.log[: self.visible_entries]
 
     def lag_ms(self) -> int:
-        """Return how old the data is that it shows."""
+        """Return the reported replication lag in milliseconds."""
         behind = len(self.log) - len(self.visible_log())
         return STALE_LAG_MS if behind else 0
 
@@ -190,7 +196,7 @@
         try:
             await self.serve_queries(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
-            # The peer is gone; what was open is rolled back by forgetting it.
+            # The peer disconnected; dropping the session rolls back its transaction.
             return
         finally:
             self.open_connections -= 1
@@ -200,7 +206,7 @@
     async def serve_queries(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer a connection's lines in order."""
+        """Perform the handshake and serve a connection's queries in order."""
         greeting = (await reader.readuntil(b"\r\n")).decode().split()
         refusal = self.refusal(greeting)
         if refusal:
@@ -219,7 +225,7 @@
             await writer.drain()
 
     def refusal(self, greeting: list[str]) -> str:
-        """Return why a greeting is refused, or nothing."""
+        """Return the error for a rejected handshake, or an empty string."""
         if greeting[1] != self.group.name:
             return f"MISROUTED {self.server_id}"
         if len(greeting) > 3 and greeting[3] != self.server_id:
@@ -234,7 +240,7 @@
         session: Session,
         lines: list[str],
     ) -> None:
-        """Send an answer and where the session stands."""
+        """Send a response, the session state and the visible position."""
         term, number = last_position(self.visible_log())
         lines = [*lines, f"READY {session.state} {term}.{number}"]
         writer.write("".join(f"{one}\r\n" for one in lines).encode())
@@ -242,7 +248,7 @@
     async def run(
         self, session: Session, request_id: str, text: str
     ) -> list[str] | None:
-        """Run a query; return its answer, or None if the answer is lost."""
+        """Run a query; return the response, or None to send none."""
         needed: Position | None = None
         if text.startswith("SYNCPOS "):
             _, position, text = text.split(" ", 2)
@@ -274,7 +280,7 @@
         rest: str,
         text: str,
     ) -> list[str] | None:
-        """Run what takes a slot; None if there is no answer."""
+        """Run a read, write or commit; return None to send no response."""
         if word == "EXECUTE":
             name, _, rest = rest.partition(" ")
             if name not in session.prepared_statements:
@@ -313,11 +319,11 @@
         return [self.complete_line(text)]
 
     async def commit(self, session: Session) -> bool:
-        """Append what a session wrote, and wait for the replicas.
+        """Append a session's writes to the log and wait for the replicas.
 
         Returns:
-          Whether the commit may be acknowledged: a server that loses the
-          lead meanwhile may not.
+          Whether the commit may be acknowledged; False if the server lost the
+          primary role while waiting.
         """
         writes = tuple(session.pending)
         self.end(session)
@@ -332,14 +338,14 @@
         return False
 
     def end(self, session: Session) -> None:
-        """End a session's transaction."""
+        """Reset a session's transaction state."""
         session.pending.clear()
         session.state = "I"
         session.transaction = 0
         session.may_write = False
 
     def value(self, session: Session, item: str) -> str:
-        """Return what an item holds, as the session sees it."""
+        """Return an item's value as visible to the session."""
         shown = self.visible_log()
         writes = [one for commit in shown for one in commit.writes]
         found = [
@@ -348,17 +354,17 @@
         return found[-1] if found else "none"
 
     def complete_line(self, text: str) -> str:
-        """Return the end of a result."""
+        """Return the COMPLETE line with the server signature."""
         return f"COMPLETE {self.server_id}.{len(self.runs)}"
 
     def problem(self, session: Session, code: str) -> list[str]:
-        """Fail a statement and, in one, the transaction."""
+        """Return an error response; fail the open transaction, if any."""
         if session.state == "T":
             session.state = "E"
         return [f"ERROR {code} {self.server_id}"]
 
     def run_control(self, session: Session, word: str, rest: str) -> list[str]:
-        """Run what takes no slot."""
+        """Run a session control statement, which takes no slot."""
         if word == "BEGIN":
             if not rest and not self.is_primary:
                 return self.problem(session, "READONLY")
@@ -381,7 +387,7 @@
         return ["COMPLETE -"]
 
     def run_order(self, word: str, rest: str) -> list[str]:
-        """Run an order to the server itself."""
+        """Run a replication control order and return the server status."""
         if word == "SUSPEND" and int(rest) > self.term:
             self.suspended_term = int(rest)
         elif word == "RESUME":
@@ -402,9 +408,9 @@
 
 
 def last_position(log: list[Commit]) -> Position:
-    """Return the position of a log's last entry.
+    """Return the position of the last entry; (1, 0) for an empty log.
 
     Args:
-      log: The log.
+      log: Log to inspect.
     """
     return log[-1].position if log else (1, 0)
