--- a/packages/jackdawcrank-proxy/tests/system/test_failures.py
+++ b/packages/jackdawcrank-proxy/tests/system/test_failures.py
@@ -241,7 +241,7 @@
     done, _ = await own_callers.run(lambda c: book(c, "vm1", 5))
     assert len(done) == 5
     confirmations = [
-        control.confirm_links
+        control.idle_confirm_connections
         for home in proxy.registry.homes.values()
         for name, control in home.group.state.controls.items()
         if name not in (replica, system.primary_of("depot"))
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_server.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/line_server.py
@@ -1,4 +1,4 @@
-"""A backend server that speaks the line protocol."""
+"""Stand-in backend server for the line protocol."""
 
 import asyncio
 import itertools
@@ -8,19 +8,19 @@
 import attrs
 
 Position = tuple[int, int]
-# As the users' servers report themselves.
+# Slot count that the users' servers report.
 SLOTS = 5
-# A server that shows old data says that it is this old.
-STUCK_LAG_MS = 5_000
+# Lag that a server with stale visible data reports.
+STALE_LAG_MS = 5_000
 
 
 @attrs.frozen
 class Commit:
-    """An entry of a log.
+    """Log entry.
 
     Attributes:
-      position: Its term and number.
-      writes: What it wrote.
+      position: Term and number.
+      writes: Written (item, value) pairs.
     """
 
     position: Position
@@ -29,14 +29,14 @@
 
 @attrs.frozen
 class Run:
-    """A statement that a server ran.
+    """Record of a statement that a server ran.
 
     Attributes:
-      request_id: Its id; `-` for one that no caller sent.
-      text: Its text without the position prefix.
-      connection: The number of the connection.
-      transaction: The number of the transaction, 0 outside.
-      values: The connection's session values.
+      request_id: Request id; `-` for a statement that no caller sent.
+      text: Statement text without the position prefix.
+      connection: Connection number.
+      transaction: Transaction number; 0 outside a transaction.
+      values: Session variables of the connection.
     """
 
     request_id: str
@@ -48,53 +48,59 @@
 
 @attrs.define(eq=False)
 class Session:
-    """A connection's state.
+    """State of a connection.
 
     Attributes:
-      number: Tells connections apart.
-      state: `I`, `T` or `E`.
-      transaction: The number of the open transaction, 0 outside.
-      plain: Whether the transaction may write.
-      pending: What it has written.
+      number: Connection number, unique per server.
+      state: `I` (idle), `T` (in a transaction) or `E` (in a failed
+        transaction).
+      transaction: Number of the open transaction; 0 outside a transaction.
+      may_write: Whether the transaction may write.
+      pending: Uncommitted writes.
+      values: Session variables.
+      prepared_statements: Kind and text of prepared statements by name.
     """
 
     number: int
     state: str = "I"
     transaction: int = 0
-    plain: bool = False
+    may_write: bool = False
     pending: list[tuple[str, str]] = attrs.Factory(list)
     values: dict[str, str] = attrs.Factory(dict)
-    names: dict[str, tuple[str, str]] = attrs.Factory(dict)
+    prepared_statements: dict[str, tuple[str, str]] = attrs.Factory(dict)
 
 
 class GroupView(typing.Protocol):
-    """What a server needs of its group."""
+    """Part of a database group that a server uses."""
 
     name: str
     term: int
     sync_replicas: int
 
-    def ship(self, primary: "LineServer") -> int:
-        """Send a primary's log to its replicas; return who received it."""
+    def replicate(self, primary: "LineServer") -> int:
+        """Copy the primary's log to its replicas; return how many got it."""
 
 
 class LineServer:
-    """One server of a group.
+    """Stand-in server of a database group, with fault injection.
 
     Attributes:
-      server_id: Its id.
-      log: Its commits.
-      leads: Whether it is the primary.
-      running: Whether it answers at all; a stopped one refuses connections.
-      silent: Whether it takes bytes and answers nothing.
-      deaf: Whether it receives nothing from the primary.
-      busy_for: The next so many reads, writes and commits get BUSY.
-      lost_answers: The answers of the next so many of these are lost.
-      slots: Reads, writes and commits that it runs at once.
-      shown: How many entries of its log it shows; None for all of them. A
-        server that is promoted shows all.
-      frozen_term: The term up to which it was told to receive nothing.
-      runs: Every statement that it ran.
+      server_id: Server id.
+      log: Commits in order.
+      is_primary: Whether the server is the primary.
+      running: Whether the server is up; a stopped one refuses connections.
+      silent: Whether the server reads requests but sends no responses.
+      replication_cut: Whether commits of the primary do not arrive.
+      busy_answers: Number of upcoming reads, writes and commits that get BUSY.
+      lost_answers: Number of upcoming reads, writes and commits that run but
+        get no response.
+      work_seconds: Duration of a read, write or commit.
+      slots: Limit on concurrent reads, writes and commits.
+      visible_entries: Number of log entries visible to reads; None for all. On
+        a primary, all entries are visible.
+      suspended_term: Term of the SUSPEND order that stopped replication to the
+        server; 0 if replication is not suspended.
+      runs: All statements that the server ran.
     """
 
     def __init__(
@@ -109,29 +115,29 @@
         self.zone = zone
         self.report_to = report
         self.log: list[Commit] = []
-        self.leads = False
+        self.is_primary = False
         self.running = False
         self.silent = False
-        self.deaf = False
+        self.replication_cut = False
         self.draining = False
-        self.busy_for = 0
+        self.busy_answers = 0
         self.lost_answers = 0
         self.work_seconds = 0.0
         self.slots = asyncio.Semaphore(SLOTS)
-        self.shown: int | None = None
-        self.frozen_term = 0
+        self.visible_entries: int | None = None
+        self.suspended_term = 0
         self.term = 1
         self.max_connections = 50
         self.open_connections = 0
         self.runs: list[Run] = []
-        self.numbers = itertools.count(1)
+        self.connection_numbers = itertools.count(1)
         self.transactions = itertools.count(1)
         self.server: asyncio.Server | None = None
         self.port = 0
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen on a free port, or on the one it had."""
+        """Listen on a free port, or on the previous one after a restart."""
         self.server = await asyncio.start_server(
             self.serve, "127.0.0.1", self.port
         )
@@ -139,7 +145,7 @@
         self.running = True
 
     async def close(self) -> None:
-        """Stop as a crash does: every connection ends."""
+        """Simulate a crash: abort all connections."""
         self.running = False
         if self.server:
             self.server.close()
@@ -147,35 +153,39 @@
             writer.transport.abort()
 
     def report(self) -> None:
-        """Say how it sees itself."""
+        """Report the current role and state."""
         self.report_to(self)
 
     def receives(self) -> bool:
-        """Return whether commits of the primary reach it."""
-        return self.running and not self.deaf and not self.frozen_term
+        """Return whether commits of the primary reach the server."""
+        return (
+            self.running
+            and not self.replication_cut
+            and not self.suspended_term
+        )
 
     def receive(self, log: list[Commit]) -> None:
-        """Take over a primary's log.
+        """Replace the log by that of the primary.
 
         Args:
-          log: The primary's log.
+          log: Log of the primary.
         """
         self.log[:] = log
 
     def position(self) -> Position:
-        """Return the position of the last entry."""
+        """Return the position of the last log entry."""
         return last_position(self.log)
 
-    def shown_log(self) -> list[Commit]:
-        """Return the entries that it shows."""
-        if self.leads or self.shown is None:
+    def visible_log(self) -> list[Commit]:
+        """Return the log entries visible to reads."""
+        if self.is_primary or self.visible_entries is None:
             return self.log
-        return self.log[: self.shown]
+        return self.log[: self.visible_entries]
 
     def lag_ms(self) -> int:
-        """Return how old the data is that it shows."""
-        behind = len(self.log) - len(self.shown_log())
-        return STUCK_LAG_MS if behind else 0
+        """Return the reported replication lag in milliseconds."""
+        behind = len(self.log) - len(self.visible_log())
+        return STALE_LAG_MS if behind else 0
 
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -184,25 +194,25 @@
         self.writers.add(writer)
         self.open_connections += 1
         try:
-            await self.converse(reader, writer)
+            await self.serve_queries(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
-            # The peer is gone; what was open is rolled back by forgetting it.
+            # The peer disconnected; dropping the session rolls back its transaction.
             return
         finally:
             self.open_connections -= 1
             self.writers.discard(writer)
             writer.close()
 
-    async def converse(
+    async def serve_queries(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer a connection's lines in order."""
+        """Perform the handshake and serve a connection's queries in order."""
         greeting = (await reader.readuntil(b"\r\n")).decode().split()
         refusal = self.refusal(greeting)
         if refusal:
             writer.write(f"ERROR {refusal}\r\n".encode())
             return
-        session = Session(next(self.numbers))
+        session = Session(next(self.connection_numbers))
         self.answer(writer, session, [])
         while True:
             line = (await reader.readuntil(b"\r\n")).decode().rstrip("\r\n")
@@ -215,7 +225,7 @@
             await writer.drain()
 
     def refusal(self, greeting: list[str]) -> str:
-        """Return why a greeting is refused, or nothing."""
+        """Return the error for a rejected handshake, or an empty string."""
         if greeting[1] != self.group.name:
             return f"MISROUTED {self.server_id}"
         if len(greeting) > 3 and greeting[3] != self.server_id:
@@ -230,15 +240,15 @@
         session: Session,
         lines: list[str],
     ) -> None:
-        """Send an answer and where the session stands."""
-        term, number = last_position(self.shown_log())
+        """Send a response, the session state and the visible position."""
+        term, number = last_position(self.visible_log())
         lines = [*lines, f"READY {session.state} {term}.{number}"]
         writer.write("".join(f"{one}\r\n" for one in lines).encode())
 
     async def run(
         self, session: Session, request_id: str, text: str
     ) -> list[str] | None:
-        """Run a query; return its answer, or None if the answer is lost."""
+        """Run a query; return the response, or None to send none."""
         needed: Position | None = None
         if text.startswith("SYNCPOS "):
             _, position, text = text.split(" ", 2)
@@ -247,11 +257,11 @@
         word, _, rest = text.partition(" ")
         if session.state == "E" and word not in ("ROLLBACK", "COMMIT"):
             return ["ERROR MALFORMED transaction failed"]
-        if needed and last_position(self.shown_log()) < needed:
+        if needed and last_position(self.visible_log()) < needed:
             return self.problem(session, "LAGGING")
         if word in ("READ", "WRITE", "EXECUTE", "COMMIT"):
-            if self.busy_for:
-                self.busy_for -= 1
+            if self.busy_answers:
+                self.busy_answers -= 1
                 return [f"ERROR BUSY {self.server_id}"]
             async with self.slots:
                 await asyncio.sleep(self.work_seconds)
@@ -270,17 +280,19 @@
         rest: str,
         text: str,
     ) -> list[str] | None:
-        """Run what takes a slot; None if there is no answer."""
+        """Run a read, write or commit; return None to send no response."""
         if word == "EXECUTE":
             name, _, rest = rest.partition(" ")
-            if name not in session.names:
+            if name not in session.prepared_statements:
                 return self.problem(session, "UNKNOWNST")
-            word, shape = session.names[name]
+            word, shape = session.prepared_statements[name]
             text = f"EXECUTE {word} {shape} {rest}"
-        lost_lead = session.plain and session.transaction and not self.leads
-        if lost_lead and (word != "COMMIT" or session.pending):
+        lost_primary_role = (
+            session.may_write and session.transaction and not self.is_primary
+        )
+        if lost_primary_role and (word != "COMMIT" or session.pending):
             return self.problem(session, "READONLY")
-        if word == "WRITE" and not self.leads:
+        if word == "WRITE" and not self.is_primary:
             return self.problem(session, "READONLY")
         self.runs.append(
             Run(
@@ -293,22 +305,25 @@
         )
         if word == "READ":
             item = rest.split(" ")[0]
-            return [f"ROW {self.value(session, item)}", self.signed(text)]
+            return [
+                f"ROW {self.value(session, item)}",
+                self.complete_line(text),
+            ]
         if word == "WRITE":
             item, _, data = rest.partition(" ")
             session.pending.append((item, data))
             if session.transaction:
-                return [self.signed(text)]
+                return [self.complete_line(text)]
         if not await self.commit(session):
             return None
-        return [self.signed(text)]
+        return [self.complete_line(text)]
 
     async def commit(self, session: Session) -> bool:
-        """Append what a session wrote, and wait for the replicas.
+        """Append a session's writes to the log and wait for the replicas.
 
         Returns:
-          Whether the commit may be acknowledged: a server that loses the
-          lead meanwhile may not.
+          Whether the commit may be acknowledged; False if the server lost the
+          primary role while waiting.
         """
         writes = tuple(session.pending)
         self.end(session)
@@ -316,45 +331,45 @@
             return True
         number = self.position()[1] + 1
         self.log.append(Commit((self.group.term, number), writes))
-        while self.leads:
-            if self.group.ship(self) >= self.group.sync_replicas:
+        while self.is_primary:
+            if self.group.replicate(self) >= self.group.sync_replicas:
                 return True
             await asyncio.sleep(0.01)
         return False
 
     def end(self, session: Session) -> None:
-        """End a session's transaction."""
+        """Reset a session's transaction state."""
         session.pending.clear()
         session.state = "I"
         session.transaction = 0
-        session.plain = False
+        session.may_write = False
 
     def value(self, session: Session, item: str) -> str:
-        """Return what an item holds, as the session sees it."""
-        shown = self.shown_log()
+        """Return an item's value as visible to the session."""
+        shown = self.visible_log()
         writes = [one for commit in shown for one in commit.writes]
         found = [
             data for name, data in [*writes, *session.pending] if name == item
         ]
         return found[-1] if found else "none"
 
-    def signed(self, text: str) -> str:
-        """Return the end of a result."""
+    def complete_line(self, text: str) -> str:
+        """Return the COMPLETE line with the server signature."""
         return f"COMPLETE {self.server_id}.{len(self.runs)}"
 
     def problem(self, session: Session, code: str) -> list[str]:
-        """Fail a statement and, in one, the transaction."""
+        """Return an error response; fail the open transaction, if any."""
         if session.state == "T":
             session.state = "E"
         return [f"ERROR {code} {self.server_id}"]
 
     def run_control(self, session: Session, word: str, rest: str) -> list[str]:
-        """Run what takes no slot."""
+        """Run a session control statement, which takes no slot."""
         if word == "BEGIN":
-            if not rest and not self.leads:
+            if not rest and not self.is_primary:
                 return self.problem(session, "READONLY")
             session.state = "T"
-            session.plain = not rest
+            session.may_write = not rest
             session.transaction = next(self.transactions)
         elif word == "ROLLBACK":
             self.end(session)
@@ -363,29 +378,29 @@
             session.values[name] = value
         elif word == "PREPARE":
             name, kind, shape = rest.split(" ", 2)
-            session.names[name] = (kind, shape)
+            session.prepared_statements[name] = (kind, shape)
         elif word == "RESET":
             session.values.clear()
-            session.names.clear()
+            session.prepared_statements.clear()
         else:
             return self.run_order(word, rest)
         return ["COMPLETE -"]
 
     def run_order(self, word: str, rest: str) -> list[str]:
-        """Run an order to the server itself."""
+        """Run a replication control order and return the server status."""
         if word == "SUSPEND" and int(rest) > self.term:
-            self.frozen_term = int(rest)
+            self.suspended_term = int(rest)
         elif word == "RESUME":
-            self.frozen_term = 0
+            self.suspended_term = 0
         elif word == "DEMOTE" and int(rest) > self.term:
-            self.leads = False
+            self.is_primary = False
             self.report()
         elif word != "STATUS":
             return ["ERROR MALFORMED unknown"]
-        role = "primary" if self.leads else "replica"
+        role = "primary" if self.is_primary else "replica"
         term, number = self.position()
         return [
-            f"ROW {role} {self.term} {term}.{number} {self.frozen_term} "
+            f"ROW {role} {self.term} {term}.{number} {self.suspended_term} "
             f"{self.lag_ms()} 0 "
             f"{self.open_connections}",
             "COMPLETE -",
@@ -393,9 +408,9 @@
 
 
 def last_position(log: list[Commit]) -> Position:
-    """Return the position of a log's last entry.
+    """Return the position of the last entry; (1, 0) for an empty log.
 
     Args:
-      log: The log.
+      log: Log to inspect.
     """
     return log[-1].position if log else (1, 0)
--- a/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/row_tables.py
+++ b/packages/jackdawcrank-standins/src/jackdawcrank_standins/users_platform/row_tables.py
@@ -1,4 +1,4 @@
-"""The metadata store of the platform, in memory."""
+"""In-memory stand-in for the platform's metadata store."""
 
 import asyncio
 import base64
@@ -12,11 +12,11 @@
 
 @attrs.define
 class StoredRow:
-    """A row.
+    """Stored row.
 
     Attributes:
-      value: Its bytes.
-      ver: The transaction that wrote it.
+      value: Row contents.
+      ver: Version of the transaction that wrote the row.
     """
 
     value: bytes
@@ -24,25 +24,29 @@
 
 
 class RowTables:
-    """Tables of rows over HTTP, with faults that can be switched on.
+    """HTTP server for tables of rows, with fault injection.
 
     Attributes:
-      rows: The rows by table and key.
-      ver: The newest transaction.
-      down: Whether every call gets 503.
-      audible: Cleared while calls get no answer.
-      lose_answers: The next so many writes are done and not answered.
-      calls: Calls by path.
+      rows: Rows by table and key.
+      history: Changes as (version, table, key, value); the value is None for
+        a removal.
+      trimmed_ver: Version up to which the history was dropped.
+      ver: Version of the latest transaction.
+      down: Whether every request gets status 503.
+      answering: Cleared while requests are to hang without a response.
+      lose_answers: Number of upcoming writes that are applied but get no
+        response.
+      calls: Number of requests by path.
     """
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], StoredRow] = {}
         self.history: list[tuple[int, str, str, bytes | None]] = []
-        self.forgotten = 0
+        self.trimmed_ver = 0
         self.ver = 0
         self.down = False
-        self.audible = asyncio.Event()
-        self.audible.set()
+        self.answering = asyncio.Event()
+        self.answering.set()
         self.lose_answers = 0
         self.calls: dict[str, int] = {}
         self.changed = asyncio.Event()
@@ -63,12 +67,12 @@
 
     async def close(self) -> None:
         """Stop listening."""
-        self.put_nothing()
+        self.notify_waiters()
         if self.runner:
             await self.runner.cleanup()
 
-    def put_nothing(self) -> None:
-        """Wake whoever waits for changes."""
+    def notify_waiters(self) -> None:
+        """Wake all requests that wait for changes."""
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -76,54 +80,54 @@
         """Write a row.
 
         Args:
-          table: The table.
-          key: The row's key.
-          value: Its bytes.
+          table: Table name.
+          key: Row key.
+          value: Row contents.
         """
         self.ver += 1
         self.rows[(table, key)] = StoredRow(value, self.ver)
         self.history.append((self.ver, table, key, value))
-        self.put_nothing()
+        self.notify_waiters()
 
     def remove(self, table: str, key: str) -> None:
         """Remove a row.
 
         Args:
-          table: The table.
-          key: The row's key.
+          table: Table name.
+          key: Row key.
         """
         self.ver += 1
         self.rows.pop((table, key), None)
         self.history.append((self.ver, table, key, None))
-        self.put_nothing()
+        self.notify_waiters()
 
-    def forget_history(self) -> None:
-        """Drop the record of changes."""
+    def trim_history(self) -> None:
+        """Drop the change history; feeds from before it get status 410."""
         self.history.clear()
-        self.forgotten = self.ver
+        self.trimmed_ver = self.ver
 
-    async def trouble(self, path: str) -> web.Response | None:
-        """Count a call; return the answer of a store in trouble."""
+    async def fault_response(self, path: str) -> web.Response | None:
+        """Count a request; return the injected error response, if any."""
         self.calls[path] = self.calls.get(path, 0) + 1
-        return await self.present_trouble()
+        return await self.current_fault_response()
 
-    async def present_trouble(self) -> web.Response | None:
-        """Return the answer of a store in trouble, or None."""
-        await self.audible.wait()
+    async def current_fault_response(self) -> web.Response | None:
+        """Return the injected error response, or None."""
+        await self.answering.wait()
         return web.Response(status=503) if self.down else None
 
     def answer(self, rows: list[dict[str, object]]) -> web.Response:
-        """Return rows with the newest version."""
+        """Return a response with rows and the current version."""
         now_ms = int(time.monotonic() * 1000)
         return web.json_response(
             {"rows": rows, "hasMore": False, "ver": self.ver, "nowMs": now_ms}
         )
 
     async def rows_get(self, request: web.Request) -> web.Response:
-        """Answer a range."""
-        trouble = await self.trouble("/rows-get")
-        if trouble is not None:
-            return trouble
+        """Return the rows of a key range."""
+        fault_response = await self.fault_response("/rows-get")
+        if fault_response is not None:
+            return fault_response
         table = request.query["table"]
         first = request.query.get("from", "")
         end = request.query.get("target")
@@ -135,15 +139,15 @@
         return self.answer(found)
 
     async def rows_feed(self, request: web.Request) -> web.Response:
-        """Answer the changes after a version, as soon as there are some."""
+        """Return the changes after a version; long-poll until there are any."""
         table = request.query["table"]
         after = int(request.query["after"])
         deadline = time.monotonic() + int(request.query["waitMs"]) / 1000
-        trouble = await self.trouble("/rows-feed")
+        fault_response = await self.fault_response("/rows-feed")
         while True:
-            if trouble is not None:
-                return trouble
-            if after < self.forgotten:
+            if fault_response is not None:
+                return fault_response
+            if after < self.trimmed_ver:
                 return web.Response(status=410)
             found = [
                 row_body(of, key, value, ver)
@@ -155,13 +159,13 @@
                 return self.answer(found)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.changed.wait(), min(left, 0.05))
-            trouble = await self.present_trouble()
+            fault_response = await self.current_fault_response()
 
     async def rows_tx(self, request: web.Request) -> web.Response:
-        """Apply a transaction or none of it."""
-        trouble = await self.trouble("/rows-tx")
-        if trouble is not None:
-            return trouble
+        """Apply a transaction atomically; status 412 on a version conflict."""
+        fault_response = await self.fault_response("/rows-tx")
+        if fault_response is not None:
+            return fault_response
         body = json.loads(await request.read())
         for one in body["precondition"]:
             row = self.rows.get((one["table"], one["key"]))
@@ -182,7 +186,7 @@
 def row_body(
     table: str, key: str, value: bytes | None, ver: int
 ) -> dict[str, object]:
-    """Return a row as an answer holds it."""
+    """Return a row in its JSON response form."""
     body: dict[str, object] = {
         "table": table,
         "part": "",
--- a/soak/fault_soak/faults.py
+++ b/soak/fault_soak/faults.py
@@ -164,9 +164,9 @@
         """Stop a server from receiving replicated commits for a while."""
         group = self.environment.platform.groups[GROUP]
         server = self.rng.choice(list(group.servers.values()))
-        server.deaf = True
+        server.replication_cut = True
         await self.wait_fault_duration()
-        server.deaf = False
+        server.replication_cut = False
 
     async def lose_answers(self) -> None:
         """Drop the answers to the next three requests with a request id."""
@@ -177,7 +177,9 @@
     async def lose_orders(self) -> None:
         """Execute the next promotion late and drop its answer."""
         self.environment.platform.lose_orders = 1
-        self.environment.platform.hold_orders = self.rng.uniform(0.0, 2.0)
+        self.environment.platform.promotion_delay_seconds = self.rng.uniform(
+            0.0, 2.0
+        )
 
     async def configure(self) -> None:
         """Write the next configuration version."""
@@ -185,4 +187,4 @@
 
     async def forget_history(self) -> None:
         """Drop the change history of the store."""
-        self.environment.platform.store.forget_history()
+        self.environment.platform.store.trim_history()
--- a/soak/fault_soak/run.py
+++ b/soak/fault_soak/run.py
@@ -104,7 +104,7 @@
     for link in platform.links.values():
         link.set_fault(LinkFault.NONE)
     for server in platform.groups[GROUP].servers.values():
-        server.deaf = server.draining = False
+        server.replication_cut = server.draining = False
         server.lost_answers = 0
         if not server.running:
             await server.start()
